--- a/libs/gateway/include/gateway/delegated_work.h
+++ b/libs/gateway/include/gateway/delegated_work.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file What one VM asks of another, and what it is told of it; a part of gateway.h. */
+/** @file Work that one VM delegates to another and the progress reports on it; a part of gateway.h. */
 
 #include <base/base.h>
 #include <quarantine/quarantine.h>
@@ -12,63 +12,64 @@
 
 namespace chivelock {
 
-/** Another VM of the fleet that can be reached now. */
+/** Another VM of the fleet that can be reached now and accepts delegated work. */
 struct helper_vm {
     std::string address;
     zone_name zone;
-    std::size_t rank = 0; ///< among the VMs of its zone, in an order that all VMs agree on but for late news
+    std::size_t rank = 0; ///< position among the VMs of its zone; equal at all VMs once updates have arrived
 };
 
-/** Names one piece of work handed to another VM, among those of the VM that hands it out. */
+/** Identifies one piece of delegated work; unique within the VM that delegates it. */
 using delegation_id = std::uint64_t;
 
 /**
- * What another VM is to do: ask one leaf of each shard, once. A second leaf is asked by further work, for which the VM
- * that hands it out spends an attempt and a part of its budget at that moment: it alone counts how many leafs may run a
- * request, so that the count holds whatever is lost between the two.
+ * Work for another VM: send the request to one leaf of each shard, at most once. A request to a second leaf is
+ * delegated as separate work, for which the delegating VM spends an attempt and a part of its retry budget when it
+ * delegates it. Only the delegating VM counts how many leafs may run a request, so the count stays correct whichever
+ * messages between the two VMs are lost.
  */
 struct delegated_work {
-    std::string route; ///< name, by which both know how long leafs take
+    std::string route; ///< name; both VMs look up their route latency by it
     request_fingerprint key;
-    attempt_tag attempt = 0; ///< the same on both VMs, so that a leaf's end that both tell counts once
+    attempt_tag attempt = 0; ///< the same on both VMs, so that a leaf crash reported by both counts once
     std::vector<service_name> shards;
     std::size_t topRecords = 0;
-    millis objective; ///< of the route
-    millis speakIn; ///< a first word is due then at the latest, also if nothing has come
-    millis cutoffIn; ///< what has come is told then, and the rest as it comes
-    millis limitIn; ///< nothing is of use any more then
-    std::vector<std::string> triedLeafs; ///< ids of leafs of these shards that others may be asked before
-    bool alone = false; ///< each shard is to be told by itself: another VM may bring some of them first
+    millis objective; ///< target latency of the route
+    millis speakIn; ///< time until the first progress report is due, even if no shard has answered
+    millis cutoffIn; ///< time until all parts received so far are reported; later ones are reported as they arrive
+    millis limitIn; ///< time after which results are useless
+    std::vector<std::string> triedLeafs; ///< ids of leafs of these shards that are not asked again
+    bool alone = false; ///< each shard is reported separately, because another VM may deliver some of them first
 };
 
-/** A shard that answered. */
+/** A shard whose part has been received. */
 struct delegated_part {
     std::uint32_t shard = 0; ///< index into @ref delegated_work::shards
-    std::string stamp;
+    std::string stamp; ///< the leaf's digest of the part
 };
 
-/** A shard that was given up. */
+/** A shard for which the helper stopped trying. */
 struct lost_shard {
     std::uint32_t shard = 0;
-    bool mayHaveRun = false;
-    bool reachedLeaf = false; ///< a leaf got it, also if that refused it
-    bool leafEnded = false; ///< the leaf ended while it ran it
-    std::string leafId; ///< of the last leaf that was asked; empty if none was
+    bool mayHaveRun = false; ///< a leaf may have run the request
+    bool reachedLeaf = false; ///< a leaf received the request, even if it refused it
+    bool leafEnded = false; ///< the leaf crashed while it ran the request
+    std::string leafId; ///< of the last leaf that the request was sent to; empty if none
 };
 
-/** A shard whose leaf is silent so far. */
+/** A shard whose leaf has not answered yet. */
 struct pending_shard {
     std::uint32_t shard = 0;
     std::string leafId;
 };
 
-/** What has come since the last word. */
+/** What has changed since the previous progress report. */
 struct delegated_progress {
     std::vector<delegated_part> parts;
-    std::string records; ///< the greatest of these parts, merged
+    std::string records; ///< the greatest records of these parts, merged
     std::vector<lost_shard> lost;
-    std::vector<pending_shard> pending; ///< told once, when the first word is due
-    bool last = false;
+    std::vector<pending_shard> pending; ///< reported once, when the first report is due
+    bool last = false; ///< no further report follows
 };
 
 } // namespace chivelock
--- a/libs/gateway/src/taken_work.cpp
+++ b/libs/gateway/src/accepted_work.cpp
@@ -1,4 +1,4 @@
-/** @file Shards that this VM asks for another one. */
+/** @file Work accepted from other VMs: shards that this VM queries on their behalf. */
 
 #include "exchange.h"
 
@@ -27,17 +27,18 @@
     work->evidence->attempt = asked.attempt;
     work->table = m_table;
     work->route = &*work->ownRoute;
-    work->pace = &paceOf(route);
+    work->latency = &latencyOf(route);
     work->arrivedAt = now;
     work->cutoff = now + asked.cutoffIn;
-    work->speakBy = now + asked.speakIn;
+    work->firstReportDue = now + asked.speakIn;
     work->limit = now + asked.limitIn;
-    work->alone = asked.alone;
+    work->reportSeparately = asked.alone;
     addCalls(*work, route.shards);
-    noteTried(*work, asked.triedLeafs);
+    excludeTriedLeafs(*work, asked.triedLeafs);
     const bool quarantined = m_requests.standingOf(asked.key, now) == request_standing::Quarantined;
+    // Without a table this VM has just started and knows no leafs; the delegating VM may not know of a quarantine yet.
     if (!m_table || quarantined) {
-        return refuseDelegated(*work, now); // just started, it knows no leafs yet; or it knows more of the request
+        return refuseDelegated(*work, now);
     }
     const exchange_id id = work->id;
     exchange &kept = *m_exchanges.emplace(id, std::move(work)).first->second;
@@ -54,14 +55,14 @@
         }
     }
     if (kept.missing > 0 && kept.missing < kept.calls.size()) {
-        tellProgress(kept, false, now); // the VM that waits may know a leaf that this one does not
+        reportProgress(kept, false, now); // the delegating VM may know a leaf that this one does not
     }
     finishGatherIfDone(kept, now);
     settle(kept, now);
     return id;
 }
 
-void gateway_engine::noteTried(exchange &work, std::span<const std::string> leafIds)
+void gateway_engine::excludeTriedLeafs(exchange &work, std::span<const std::string> leafIds)
 {
     for (const std::string &id : leafIds) {
         const std::shared_ptr<leaf> tried = m_leafs.find(id);
@@ -78,17 +79,17 @@
 exchange_id gateway_engine::refuseDelegated(exchange &work, millis now)
 {
     std::ranges::for_each(work.calls, [](shard_call &call) { call.missing = true; });
-    tellProgress(work, true, now);
+    reportProgress(work, true, now);
     return work.id;
 }
 
-/** A leaf that could not be reached at all got nothing, so another one is the first. Anything else is for the VM that
- *  counts the attempts to decide. */
-void gateway_engine::askElsewhere(exchange &work, std::size_t at, std::string_view cause, millis now)
+/** Tries another leaf if none has received the request yet, since this is not a further attempt. In all other cases the
+ *  delegating VM, which counts the attempts, decides. */
+void gateway_engine::retryIfUnreached(exchange &work, std::size_t at, std::string_view cause, millis now)
 {
-    constexpr unsigned mostTries = 3;
+    constexpr unsigned maxSends = 3;
     shard_call &call = work.calls[at];
-    const bool first = !call.reachedLeaf && call.sends < mostTries;
+    const bool first = !call.reachedLeaf && call.sends < maxSends;
     const choice chosen = first ? chooseLeaf(work, call, false, now) : choice();
     if (chosen.to) {
         sendCall(work, at, chosen.to, now);
@@ -96,54 +97,54 @@
     }
     failCall(work, at, cause, now);
     if (!work.ended) {
-        tellProgress(work, false, now);
+        reportProgress(work, false, now);
     }
 }
 
-/** Tells what has come since the last word; nothing if nothing has, unless it is the first or the last. */
-void gateway_engine::tellProgress(exchange &work, bool last, millis now)
+/** Reports the changes since the previous report. An empty report is sent only as the first or the last one. */
+void gateway_engine::reportProgress(exchange &work, bool last, millis now)
 {
-    const bool pendingDue = !work.pendingTold && now >= work.speakBy;
-    work.pendingTold = work.pendingTold || pendingDue;
-    delegated_progress word;
-    word.last = last;
+    const bool pendingDue = !work.pendingReported && now >= work.firstReportDue;
+    work.pendingReported = work.pendingReported || pendingDue;
+    delegated_progress report;
+    report.last = last;
     std::vector<std::string_view> parts;
     for (std::size_t at = 0; at < work.calls.size(); ++at) {
         shard_call &call = work.calls[at];
         const auto shard = static_cast<std::uint32_t>(at);
-        if (call.done && !call.told) {
-            call.told = true;
-            if (call.pendingTold || work.alone) {
-                tellAlone(work, shard);
+        if (call.done && !call.reported) {
+            call.reported = true;
+            if (call.pendingReported || work.reportSeparately) {
+                reportSinglePart(work, shard);
                 continue;
             }
-            word.parts.push_back({shard, call.part.stamp});
+            report.parts.push_back({shard, call.part.stamp});
             parts.emplace_back(call.part.body);
-        } else if (call.missing && !call.told) {
-            call.told = true;
-            word.lost.push_back({shard, call.mayHaveRun > 0, call.reachedLeaf, call.leafEnded, call.lastAsked});
+        } else if (call.missing && !call.reported) {
+            call.reported = true;
+            report.lost.push_back({shard, call.mayHaveRun > 0, call.reachedLeaf, call.leafEnded, call.lastAsked});
         } else if (pendingDue && !call.done && !call.missing && !call.lastAsked.empty()) {
-            call.pendingTold = true;
-            word.pending.push_back({shard, call.lastAsked});
+            call.pendingReported = true;
+            report.pending.push_back({shard, call.lastAsked});
         }
     }
-    word.records = mergeRecords(parts, work.route->topRecords);
+    report.records = mergeRecords(parts, work.route->topRecords);
     work.ended = work.ended || last;
-    const bool news = !word.parts.empty() || !word.lost.empty() || !word.pending.empty();
-    if (news || last || !work.spoke) {
-        work.spoke = true;
-        m_actions.emplace_back(progress_action {work.id, std::move(word)});
+    const bool hasChanges = !report.parts.empty() || !report.lost.empty() || !report.pending.empty();
+    if (hasChanges || last || !work.firstReportSent) {
+        work.firstReportSent = true;
+        m_actions.emplace_back(progress_action {work.id, std::move(report)});
     }
 }
 
-void gateway_engine::tellAlone(const exchange &work, std::uint32_t shard)
+void gateway_engine::reportSinglePart(const exchange &work, std::uint32_t shard)
 {
     const gateway_reply &part = work.calls[shard].part;
-    delegated_progress word;
-    word.parts.push_back({shard, part.stamp});
+    delegated_progress report;
+    report.parts.push_back({shard, part.stamp});
     const std::vector<std::string_view> parts = {part.body};
-    word.records = mergeRecords(parts, work.route->topRecords);
-    m_actions.emplace_back(progress_action {work.id, std::move(word)});
+    report.records = mergeRecords(parts, work.route->topRecords);
+    m_actions.emplace_back(progress_action {work.id, std::move(report)});
 }
 
 void gateway_engine::onSurvived(exchange_id id)
@@ -160,10 +161,10 @@
     if (found == m_exchanges.end()) {
         return;
     }
-    settleEvidence(*found->second, now);
+    submitEvidence(*found->second, now);
     for (auto &[sendId, one] : m_sends) {
         if (one.exchange == id) {
-            one.exchange = 0; // its answer still tells of the leaf
+            one.exchange = 0; // its answer still updates the leaf's health
         }
     }
     erase(id);
--- a/libs/gateway/src/work_sharing.cpp
+++ b/libs/gateway/src/delegation_plan.cpp
@@ -1,4 +1,4 @@
-/** @file Who asks which leafs of a lookup over many shards. */
+/** @file Division of a lookup over many shards among VMs. */
 
 #include "exchange.h"
 
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr std::size_t leastWorthHanding = 3; // shards; for fewer, the message costs as much as it saves
+constexpr std::size_t minDelegatedShards = 3; // for fewer shards, the message costs as much as it saves
 
-std::size_t piecesFor(std::size_t calls, std::size_t atOnce)
+std::size_t partsFor(std::size_t calls, std::size_t atOnce)
 {
     return (calls + atOnce - 1) / atOnce;
 }
 
 } // namespace
 
-bool gateway_engine::isTrusted(const std::string &helper, millis now) const
+bool gateway_engine::isResponsive(const std::string &helper, millis now) const
 {
-    const auto distrusted = m_distrustedUntil.find(helper);
-    return distrusted == m_distrustedUntil.end() || distrusted->second <= now;
+    const auto avoided = m_unresponsiveUntil.find(helper);
+    return avoided == m_unresponsiveUntil.end() || avoided->second <= now;
 }
 
 gateway_engine::shard_zones gateway_engine::zonesOf(const shard_call &call, millis now)
@@ -41,38 +41,39 @@
 }
 
 /**
- * Into how many parts the shards of a zone are divided: call n belongs to part n % count, as does the VM of rank n. The
- * same for all who ask, so that a leaf knows two or three VMs and not all of the zone: with random helpers 67 VMs held
- * so many connections that after a loss of power leafs, which still counted the dead ones, reset new ones for five
- * seconds. And each VM meets its few leafs often enough to know at once how they are.
+ * @return into how many parts the shards of a zone are divided; call n belongs to part n % count, as does the VM of
+ * rank n. The division is the same at all VMs, so that a leaf has connections from two or three VMs and not from all of
+ * the zone: with random helpers, 67 VMs held so many connections that after a power loss leafs, which still counted the
+ * dead ones, reset new ones for five seconds. Also, each VM queries its few leafs often enough to notice changes of
+ * their health immediately.
  */
-std::size_t gateway_engine::partsOf(const zone_name &zone, std::size_t shards) const
+std::size_t gateway_engine::partCount(const zone_name &zone, std::size_t shards) const
 {
     std::size_t vms = zone == m_settings.zone ? m_ownRank + 1 : 1;
     for (const helper_vm &helper : m_helpers) {
         vms = helper.zone == zone ? std::max<std::size_t>(vms, helper.rank + 1) : vms;
     }
-    return std::max<std::size_t>(1, std::min(piecesFor(shards, m_settings.shardsAtOnce), vms));
+    return std::max<std::size_t>(1, std::min(partsFor(shards, m_settings.shardsAtOnce), vms));
 }
 
-/** @return the address of a VM that is to ask for the part; empty if that is for this VM, or if there is none. */
+/** @return the address of a VM to delegate the part to; empty if this VM queries it itself or no helper is usable. */
 std::string gateway_engine::helperFor(const zone_name &zone, std::size_t part, std::size_t parts, millis now)
 {
     if (zone == m_settings.zone && m_ownRank % parts == part) {
         return {};
     }
-    std::vector<std::string> meant;
+    std::vector<std::string> preferred;
     std::vector<std::string> others;
     for (const helper_vm &helper : m_helpers) {
-        if (helper.zone == zone && isTrusted(helper.address, now)) {
-            (helper.rank % parts == part ? meant : others).push_back(helper.address);
+        if (helper.zone == zone && isResponsive(helper.address, now)) {
+            (helper.rank % parts == part ? preferred : others).push_back(helper.address);
         }
     }
-    const std::vector<std::string> &from = meant.empty() ? others : meant;
+    const std::vector<std::string> &from = preferred.empty() ? others : preferred;
     return from.empty() ? std::string() : from[m_random.below(from.size())];
 }
 
-/** Hands out the calls whose leafs are in @p zone, part by part; what is left is asked from here. */
+/** Plans the delegation of the calls whose leafs are in @p zone, part by part; this VM sends the remaining calls. */
 void gateway_engine::planZone(
     const zone_name &zone, std::span<const std::size_t> calls, std::size_t parts, helper_plan &plan, millis now)
 {
@@ -80,7 +81,7 @@
     std::ranges::for_each(calls, [&](std::size_t at) { groups[at % parts].push_back(at); });
     for (std::size_t part = 0; part < parts; ++part) {
         std::string helper =
-            groups[part].size() < leastWorthHanding ? std::string() : helperFor(zone, part, parts, now);
+            groups[part].size() < minDelegatedShards ? std::string() : helperFor(zone, part, parts, now);
         if (!helper.empty()) {
             plan.push_back({std::move(helper), std::move(groups[part])});
         }
@@ -88,8 +89,9 @@
 }
 
 /**
- * Who asks which leafs. Leafs of the own zone are asked from the own zone; those of other zones by VMs next to them,
- * since one message with the merged parts replaces a request and an answer for each shard on the way between zones.
+ * Plans which VM queries which leafs. Leafs of the own zone are queried by VMs of the own zone, and those of other
+ * zones by VMs of their zone: one message with the merged parts then replaces one request and one answer for each shard
+ * between the zones.
  */
 gateway_engine::helper_plan gateway_engine::planHelpers(exchange &work, millis now)
 {
@@ -98,10 +100,10 @@
         return plan;
     }
     std::map<zone_name, std::vector<std::size_t>> byZone;
-    std::map<zone_name, std::size_t> shardsIn; // pausing leafs count: parts should stay as they are
+    std::map<zone_name, std::size_t> shardsIn; // includes paused leafs, so that the division into parts stays stable
     for (std::size_t at = 0; at < work.calls.size(); ++at) {
         const shard_call &call = work.calls[at];
-        if (!call.isUntouched() || call.waiting) {
+        if (!call.isUnassigned() || call.waiting) {
             continue;
         }
         const shard_zones zones = zonesOf(call, now);
@@ -113,13 +115,13 @@
         }
     }
     for (const auto &[zone, shards] : shardsIn) {
-        work.partsIn[zone] = partsOf(zone, shards);
+        work.partsByZone[zone] = partCount(zone, shards);
     }
-    // The zone that has most first: fewer messages.
+    // Starts with the zone that has the most calls, which needs fewer messages.
     while (!byZone.empty()) {
         const auto most = std::ranges::max_element(byZone, {}, [](const auto &one) { return one.second.size(); });
         const std::size_t planned = plan.size();
-        planZone(most->first, most->second, work.partsIn[most->first], plan, now);
+        planZone(most->first, most->second, work.partsByZone[most->first], plan, now);
         byZone.erase(most);
         std::set<std::size_t> taken;
         for (std::size_t at = planned; at < plan.size(); ++at) {
--- a/libs/gateway/src/engine.cpp
+++ b/libs/gateway/src/engine.cpp
@@ -7,38 +7,38 @@
 
 namespace {
 
-constexpr std::size_t fleetSizeGuess = 16; // until peers are counted: twice the fleets of today
-// Round trips from the caller's first packet until it has the answer, without this VM's part.
-constexpr double waysOfRequest = 1.0;
-constexpr double waysOfConnection = 1.0; // before that, on a new one
-constexpr millis mostRoundTrip(200); // a measurement above that tells of a lost packet and not of the way
-constexpr double leastUseOfObjective = 0.5; // a partial answer is never given before that share of the objective
-constexpr double holdShare = 0.2; // of the objective: longest wait for a free connection before a refusal
+constexpr std::size_t initialFleetSize = 16; // until peers are counted; twice the size of today's fleets
+// Round trips between the caller's first packet and its receipt of the answer.
+constexpr double roundTripsOfRequest = 1.0;
+constexpr double roundTripsOfConnect = 1.0; // additional ones on a new connection
+constexpr millis maxRoundTrip(200); // a higher measurement is caused by a lost packet
+constexpr double minObjectiveShare = 0.5; // no partial answer is given before this share of the objective has passed
+constexpr double connectionWaitShare = 0.2; // of the objective: longest wait for a free connection before refusal
 
-void mixIn(leaf &target, millis work)
+void updateMixedWork(leaf &target, millis work)
 {
-    constexpr double newestShare = 0.1; // some ten requests tell the mix
+    constexpr double newestShare = 0.1; // the average covers about ten requests
     const bool first = target.mixedWork == millis();
     target.mixedWork = first ? work : target.mixedWork * (1 - newestShare) + work * newestShare;
 }
 
-millis patienceAfterWays(millis patience, millis ways)
+millis timeoutAfterNetwork(millis callerTimeout, millis networkTime)
 {
-    return patience > ways * 2 ? patience - ways : patience * 0.5;
+    return callerTimeout > networkTime * 2 ? callerTimeout - networkTime : callerTimeout * 0.5;
 }
 
 } // namespace
 
 /**
- * What of a caller's time is not this VM's to spend: time held back without need is taken from the parts that are still
- * on their way, time not held back makes the whole answer late. A caller on a kept connection waits for one round trip
- * less than one on a new connection, and the kernel has measured how long that takes.
+ * Part of the caller's timeout that must be reserved for the network and for sending the answer. Reserving too much
+ * cuts off parts that are still on their way; reserving too little makes the complete answer late. On a kept connection
+ * a caller waits for one round trip less than on a new one, and the kernel has measured the round trip.
  */
-millis gateway_engine::timeOnTheWay(const caller_request &request) const
+millis gateway_engine::estimateNetworkTime(const caller_request &request) const
 {
-    const millis roundTrip = std::min(request.roundTrip.value_or(m_settings.callerRoundTrip), mostRoundTrip);
-    const double ways = waysOfRequest + (request.newConnection ? waysOfConnection : 0.0);
-    return roundTrip * ways + m_settings.answerMargin;
+    const millis roundTrip = std::min(request.roundTrip.value_or(m_settings.callerRoundTrip), maxRoundTrip);
+    const double roundTrips = roundTripsOfRequest + (request.newConnection ? roundTripsOfConnect : 0.0);
+    return roundTrip * roundTrips + m_settings.answerMargin;
 }
 
 std::string_view toString(send_failure failure)
@@ -82,7 +82,7 @@
 
 std::size_t gateway_engine::exchange::neededParts() const
 {
-    constexpr double roundingSlack = 1e-9; // 0.9 of 20 must not become 19
+    constexpr double roundingSlack = 1e-9; // rounding errors must not turn 0.9 of 20 into 19
     const double wanted = std::ceil(route->minCoverage * static_cast<double>(calls.size()) - roundingSlack);
     return std::max<std::size_t>(1, static_cast<std::size_t>(wanted));
 }
@@ -91,10 +91,10 @@
     : m_settings(std::move(settings))
     , m_random(seed)
     , m_leafs(m_settings.removalHold)
-    , m_fleetSize(fleetSizeGuess)
+    , m_fleetSize(initialFleetSize)
     , m_seed(seed)
     , m_requests(m_settings.quarantine, seed)
-    , m_tags(seed)
+    , m_attemptTags(seed)
 {
 }
 
@@ -113,12 +113,12 @@
 {
     const exchange_id id = m_nextId++;
     if (!m_table) {
-        answerWithout(request, exchange_outcome::NoConfig, "no_config", id);
+        answerWithoutExchange(request, exchange_outcome::NoConfig, "no_config", id);
         return id;
     }
     const gateway_route *route = m_table->find(request.host, request.target);
     if (route == nullptr) {
-        answerWithout(request, exchange_outcome::NoRoute, "no_route", id);
+        answerWithoutExchange(request, exchange_outcome::NoRoute, "no_route", id);
         return id;
     }
     if (m_requests.standingOf(request.key, now) == request_standing::Quarantined) {
@@ -131,13 +131,14 @@
     work->key = request.key;
     work->table = m_table;
     work->route = route;
-    work->pace = &paceOf(*route);
+    work->latency = &latencyOf(*route);
     work->arrivedAt = now;
-    work->ways = timeOnTheWay(request);
-    const millis patience = request.patience ? patienceAfterWays(*request.patience, work->ways) : route->timeout;
-    work->limit = now + std::min(patience, route->timeout);
+    work->networkTime = estimateNetworkTime(request);
+    const millis callerTimeout =
+        request.patience ? timeoutAfterNetwork(*request.patience, work->networkTime) : route->timeout;
+    work->limit = now + std::min(callerTimeout, route->timeout);
     exchange &kept = *m_exchanges.emplace(id, std::move(work)).first->second;
-    beginTrial(kept, now);
+    beginCanary(kept, now);
     begin(kept, now);
     if (kept.ended) {
         erase(id);
@@ -157,32 +158,32 @@
 
 void gateway_engine::beginSingle(exchange &work, millis now)
 {
-    work.sendBy = std::min(work.sendBy, now + work.route->objective * holdShare);
+    work.sendBy = std::min(work.sendBy, now + work.route->objective * connectionWaitShare);
     shard_call &call = work.calls.emplace_back();
-    call.service = pickShare(*work.route);
+    call.service = pickSplitService(*work.route);
     budgetOf(call.service).countRequest(now);
     const choice chosen = chooseLeaf(work, call, false, now);
     if (chosen.to && maySendMore(work, now)) {
         sendCall(work, 0, chosen.to, now);
     } else if (chosen.to || chosen.full) {
-        call.waiting = true; // for a connection, or for what comes of another attempt of the same request
+        call.waiting = true; // for a connection, or for the canary of another attempt of the same request
     } else {
-        noteEmptied(work, chosen);
+        recordDrainedZone(work, chosen);
         answerUnserved(work, chosen.reason(), false, now);
     }
 }
 
-/** For the log line of the request. */
-void gateway_engine::noteEmptied(exchange &work, const choice &none)
+/** Keeps the drained zone for the log line of the request. */
+void gateway_engine::recordDrainedZone(exchange &work, const choice &none)
 {
-    if (!none.to && none.emptied != nullptr) {
-        work.emptiedZone = *none.emptied;
+    if (!none.to && none.drained != nullptr) {
+        work.emptiedZone = *none.drained;
     }
 }
 
 void gateway_engine::beginGather(exchange &work, millis now)
 {
-    const millis inTime = std::max(work.route->objective - work.ways, work.route->objective * leastUseOfObjective);
+    const millis inTime = std::max(work.route->objective - work.networkTime, work.route->objective * minObjectiveShare);
     work.cutoff = now + inTime;
     addCalls(work, work.route->shards);
     bool overloaded = false;
@@ -190,31 +191,31 @@
         const choice one = chooseLeaf(work, call, false, now);
         call.waiting = !one.to && one.full;
         call.missing = !one.to && !one.full;
-        noteEmptied(work, one);
+        recordDrainedZone(work, one);
         work.missing += call.missing ? 1 : 0;
         overloaded = overloaded || (call.missing && one.overloaded);
     }
-    // Known before anything ran: nobody's time is spent on an answer that can't be given.
+    // Refuses before any leaf works on a request that can't be answered.
     if (work.calls.size() - work.missing < work.neededParts()) {
         const std::string_view otherwise = work.emptiedZone.value.empty() ? "too_few_shards" : "zone_emptied";
         answerUnserved(work, overloaded ? "shards_overloaded" : otherwise, false, now);
         return;
     }
-    if (work.trialWidth > 0) {
+    if (work.canaryLimit > 0) {
         std::ranges::for_each(work.calls, [](shard_call &call) { call.held = !call.missing; });
-        sendTrials(work, now);
+        sendCanaries(work, now);
         return;
     }
     fanOut(work, now);
 }
 
-/** Asks for all shards for which nobody has been asked. */
+/** Delegates or sends the calls of all unassigned shards. */
 void gateway_engine::fanOut(exchange &work, millis now)
 {
     for (helper_group &group : planHelpers(work, now)) {
         delegateCalls(work, group.helper, std::move(group.calls), now);
     }
-    sendUnsent(work, now);
+    sendUnassigned(work, now);
 }
 
 void gateway_engine::addCalls(exchange &work, std::span<const service_name> shards)
@@ -224,12 +225,12 @@
     }
 }
 
-/** Sends what no other VM has in hand. */
-void gateway_engine::sendUnsent(exchange &work, millis now)
+/** Sends the calls that are not delegated to another VM. */
+void gateway_engine::sendUnassigned(exchange &work, millis now)
 {
     for (std::size_t at = 0; at < work.calls.size(); ++at) {
         shard_call &call = work.calls[at];
-        if (!call.isUntouched() && !call.missing) {
+        if (!call.isUnassigned() && !call.missing) {
             continue;
         }
         budgetOf(call.service).countRequest(now);
@@ -246,12 +247,12 @@
 }
 
 /**
- * Until when a leaf's answer is of use. What is left in the queues of leafs once a lookup has been answered in part is
- * work for nobody, and at a shard that gets more than it can do that was most of what its leafs did.
+ * Time until which a leaf's answer is useful. Requests left in the queues of leafs after a lookup got its partial
+ * answer are wasted work, and at an overloaded shard they were most of the work of its leafs.
  */
 millis gateway_engine::usefulUntil(const exchange &work, millis now)
 {
-    constexpr millis partGrace(20); // a part that is nearly there may still complete a lookup that is short of parts
+    constexpr millis partGrace(20); // a part that arrives slightly late may still complete a lookup that lacks parts
     const bool inTime = work.route->isGather() && now < work.cutoff;
     return inTime ? std::min(work.limit, work.cutoff + partGrace) : work.limit;
 }
@@ -259,26 +260,26 @@
 void gateway_engine::sendCall(exchange &work, std::size_t at, const std::shared_ptr<leaf> &to, millis now)
 {
     shard_call &call = work.calls[at];
-    const millis hedgeAfter = work.pace->hedgeAfter();
+    const millis hedgeAfter = work.latency->hedgeAfter();
     send one;
     one.id = m_nextId++;
     one.exchange = work.id;
     one.call = at;
     one.to = to;
     one.evidence = work.evidence;
-    one.pace = work.pace;
+    one.latency = work.latency;
     one.sentAt = now;
     one.idempotent = work.route->idempotent;
-    constexpr millis afterDeadline(100); // a leaf's own word that time is up is still heard
+    constexpr millis lateAnswerGrace(100); // so that a leaf's answer that its deadline passed is still received
     one.deadline = usefulUntil(work, now);
-    one.closeAt = work.limit + afterDeadline;
-    one.queue = leafQueue(*to, *work.pace, now);
-    useColdTurn(*to, now);
-    mixIn(*to, work.pace->typical.estimate());
+    one.closeAt = work.limit + lateAnswerGrace;
+    one.queue = leafQueuePerSlot(*to, *work.latency, now);
+    useColdSlot(*to, now);
+    updateMixedWork(*to, work.latency->typical.estimate());
     to->open.push_back({one.id, now, now + hedgeAfter});
     call.tried.push_back(to);
     call.lastAsked = to->entry.id;
-    noteAsked(work, *to, now);
+    recordAskedLeaf(work, *to, now);
     call.open += 1;
     call.mayHaveRun += 1;
     call.sends += 1;
@@ -312,8 +313,8 @@
 
 void gateway_engine::settle(exchange &work, millis now)
 {
-    continueTrial(work, now);
-    handSecondSends(work, now);
+    continueCanary(work, now);
+    delegateSecondSends(work, now);
     schedule(work, now);
     if (work.ended) {
         erase(work.id);
@@ -326,12 +327,12 @@
     if (!ended) {
         return;
     }
-    noteLeafReply(*ended->to, *ended, reply, now);
-    constexpr unsigned timeIsUp = 504; // it may still have ended the leaf, with more time
-    const bool survived = !reply.notRun && !reply.wrongInstance && reply.status != timeIsUp;
+    updateLeafOnReply(*ended->to, *ended, reply, now);
+    constexpr unsigned gatewayTimeout = 504; // with more time the request might still have crashed the leaf
+    const bool survived = !reply.notRun && !reply.wrongInstance && reply.status != gatewayTimeout;
     exchange *owner = ownerOf(*ended);
     if (owner == nullptr) {
-        noteOutcome(*ended, survived, false, now);
+        recordLateOutcome(*ended, survived, false, now);
         return;
     }
     exchange &work = *owner;
@@ -341,24 +342,24 @@
     call.mayHaveRun -= notRun ? 1 : 0;
     call.reachedLeaf = true;
     if (survived) {
-        noteSurvived(work, now);
+        recordSurvived(work, now);
     }
     if (notRun || !reply.isSuccess()) {
         const std::string_view cause = reply.wrongInstance ? "wrong_instance" : (notRun ? "refused" : "failed");
-        note(work, "send_in_vain", cause, ended->to.get(), call.service, now - ended->sentAt, now);
+        logEvent(work, "send_in_vain", cause, ended->to.get(), call.service, now - ended->sentAt, now);
     }
     if (!call.done && !call.missing) {
         if (notRun) {
-            // It may be asked again if nobody else is left: what it refused it has not begun.
+            // The leaf has not started the request, so it may be asked again if no other leaf is left.
             std::erase(call.tried, ended->to);
             retryCall(work, ended->call, reply.wrongInstance ? "wrong_instance" : "leaf_refused", now);
         } else if (work.route->isGather()) {
-            takePart(work, ended->call, std::move(reply), now);
+            acceptPart(work, ended->call, std::move(reply), now);
         } else {
             answerSingle(work, std::move(reply), now);
         }
     }
-    retryWaiting(work, now);
+    sendWaiting(work, now);
     settle(work, now);
 }
 
@@ -368,12 +369,12 @@
     if (!ended) {
         return;
     }
-    noteLeafFailure(*ended->to, failure, now);
-    // One that leaves closes its connections and ends as it was told to.
+    updateLeafOnFailure(*ended->to, failure, now);
+    // A leaving leaf closes its connections and stops as instructed; that is no crash.
     const bool leafEnded = failure == send_failure::LeafEnded && !ended->to->isLeaving();
     exchange *owner = ownerOf(*ended);
     if (owner == nullptr) {
-        noteOutcome(*ended, false, leafEnded, now);
+        recordLateOutcome(*ended, false, leafEnded, now);
         return;
     }
     exchange &work = *owner;
@@ -383,16 +384,16 @@
     call.reachedLeaf = call.reachedLeaf || failure != send_failure::NotSent;
     call.leafEnded = call.leafEnded || leafEnded;
     if (leafEnded) {
-        noteEnded(work, ended->to->entry.id);
+        recordLeafCrash(work, ended->to->entry.id);
     }
-    note(work, "send_in_vain", toString(failure), ended->to.get(), call.service, now - ended->sentAt, now);
+    logEvent(work, "send_in_vain", toString(failure), ended->to.get(), call.service, now - ended->sentAt, now);
     if (!call.done && !call.missing) {
         retryCall(work, ended->call, toString(failure), now);
     }
     settle(work, now);
 }
 
-void gateway_engine::takePart(exchange &work, std::size_t at, gateway_reply reply, millis now)
+void gateway_engine::acceptPart(exchange &work, std::size_t at, gateway_reply reply, millis now)
 {
     if (!reply.isSuccess() || reply.stamp.empty()) {
         retryCall(work, at, "leaf_failed", now);
@@ -424,8 +425,8 @@
     }
     const bool allKnown = work.done + work.missing == work.calls.size();
     if (work.isDelegated()) {
-        if (allKnown || work.pendingTold || now >= work.cutoff) {
-            tellProgress(work, allKnown, now);
+        if (allKnown || work.pendingReported || now >= work.cutoff) {
+            reportProgress(work, allKnown, now);
         }
         return;
     }
@@ -441,10 +442,10 @@
         answerUnserved(work, "time", true, now);
         return;
     }
-    if (work.isDelegated() && (now >= work.cutoff || (!work.pendingTold && now >= work.speakBy))) {
-        tellProgress(work, false, now);
+    if (work.isDelegated() && (now >= work.cutoff || (!work.pendingReported && now >= work.firstReportDue))) {
+        reportProgress(work, false, now);
     }
-    retryWaiting(work, now);
+    sendWaiting(work, now);
     if (!work.ended && work.sends == 0 && now >= work.sendBy) {
         answerUnserved(work, maySendMore(work, now) ? "leafs_full" : "on_trial", false, now);
     }
@@ -452,7 +453,7 @@
         finishGatherIfDone(work, now);
     }
     if (!work.ended) {
-        hedgeDue(work, now);
+        sendDueHedges(work, now);
     }
 }
 
@@ -478,12 +479,12 @@
         return;
     }
     if (next.kind == due_kind::Delegation) {
-        onWordDue(next.id, now);
+        onReportOverdue(next.id, now);
         return;
     }
     const auto found = m_exchanges.find(next.id);
     if (found == m_exchanges.end() || found->second->scheduled != next.at) {
-        return; // it was scheduled anew for another time
+        return; // rescheduled to another time
     }
     exchange &work = *found->second;
     work.scheduled = millis::never();
@@ -496,24 +497,24 @@
     if (work.ended) {
         return;
     }
-    constexpr millis waitingLook(5); // how often a request without a free connection looks for one
+    constexpr millis waitingPollInterval(5); // interval at which waiting requests retry to find a free connection
     millis next = work.limit;
     if (work.cutoff > now) {
         next = std::min(next, work.cutoff);
     }
-    if (!work.pendingTold && work.speakBy > now) {
-        next = std::min(next, work.speakBy);
+    if (!work.pendingReported && work.firstReportDue > now) {
+        next = std::min(next, work.firstReportDue);
     }
     for (const shard_call &call : work.calls) {
         if (call.done || call.missing || call.held) {
             continue;
         }
-        next = std::min(next, call.waiting ? now + waitingLook : call.nextHedge);
+        next = std::min(next, call.waiting ? now + waitingPollInterval : call.nextHedge);
     }
-    if (work.trialWidth > 0) {
-        next = std::min(next, now + waitingLook);
+    if (work.canaryLimit > 0) {
+        next = std::min(next, now + waitingPollInterval);
     }
-    // An earlier time that is still to come does: looking once too often is cheaper than a heap full of old times.
+    // An earlier wake-up that is still pending suffices: one superfluous check is cheaper than many stale heap entries.
     if (work.scheduled > now && work.scheduled <= next) {
         return;
     }
@@ -534,9 +535,9 @@
 void gateway_engine::erase(exchange_id id)
 {
     exchange &ended = *m_exchanges.at(id);
-    dropDelegations(ended, false);
-    endTrial(ended);
-    tellAsked(ended);
+    cancelDelegations(ended, false);
+    endCanary(ended);
+    logAskedLeafs(ended);
     m_exchanges.erase(id);
 }
 
--- a/libs/gateway/src/engine_answers.cpp
+++ b/libs/gateway/src/engine_answers.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr millis leastRetryAfter(50); // a leaf's short pause or a full queue has mostly passed by then
-constexpr millis mostRetryAfter(500); // no leaf: the store's word of new ones arrives within a second
+constexpr millis minRetryAfter(50); // most short pauses of leafs and full queues are over by then
+constexpr millis maxRetryAfter(500); // without a leaf: updates from the store about new leafs arrive within a second
 
-/** Statuses by which this system itself promises that a request did not run and never will. */
+/** @return whether this system uses the status to state that a request has not run and will not run. */
 bool promisesNotRun(unsigned status)
 {
     constexpr unsigned timeoutBeforeRead = 408;
@@ -27,7 +27,7 @@
     answer_action merged;
     for (const shard_call &call : work.calls) {
         if (call.done) {
-            parts.emplace_back(call.part.body); // empty for a part that another VM brought
+            parts.emplace_back(call.part.body); // empty for a part that another VM delivered
             merged.stamps.push_back(call.part.stamp);
         }
     }
@@ -39,14 +39,14 @@
 void gateway_engine::answerUnserved(exchange &work, std::string_view cause, bool timedOut, millis now)
 {
     if (work.isDelegated()) {
-        tellProgress(work, true, now);
+        reportProgress(work, true, now);
         return;
     }
-    settleEvidence(work, now);
+    submitEvidence(work, now);
     answer_action result;
     result.timedOut = timedOut;
     exchange_outcome outcome = work.mayHaveRun() ? exchange_outcome::Failed : exchange_outcome::Refused;
-    // A leaf's status that reads as this system's promise must not be passed on for a request that may have run.
+    // A leaf's status that this system uses for "not run" must not be forwarded for a request that may have run.
     if (work.failure && !timedOut && !promisesNotRun(work.failure->status)) {
         result.reply = std::move(*work.failure);
         outcome = exchange_outcome::Relayed;
@@ -58,18 +58,17 @@
         }
         for (const std::shared_ptr<leaf> &one : m_leafs.of(call.service)) {
             if (m_zones.isEmptied(one->entry.zone)) {
-                continue; // operators give zones back after minutes, not with the next leaf that recovers
+                continue; // operators undrain zones after minutes, so their leafs do not shorten the retry time
             }
             soonest = std::min(soonest, std::max(one->downUntil - now, millis()));
         }
     }
-    result.retryAfter =
-        std::max(std::clamp(soonest, leastRetryAfter, mostRetryAfter), m_requests.heldFor(work.key, now));
+    result.retryAfter = std::max(std::clamp(soonest, minRetryAfter, maxRetryAfter), m_requests.heldFor(work.key, now));
     m_actions.emplace_back(std::move(result));
     answer(work, outcome, cause, now);
 }
 
-/** Completes the answer that was put in place last. */
+/** Fills in the common fields of the answer action that was added last. */
 void gateway_engine::answer(exchange &work, exchange_outcome outcome, std::string_view cause, millis now)
 {
     auto &result = std::get<answer_action>(m_actions.back());
@@ -88,33 +87,33 @@
     result.retries = work.retries;
     result.handedSeconds = work.handedSeconds;
     result.elapsed = now - work.arrivedAt;
-    result.ways = work.ways;
+    result.ways = work.networkTime;
     work.ended = true;
 }
 
-void gateway_engine::answerWithout(const caller_request &request,
-                                   exchange_outcome outcome,
-                                   std::string_view cause,
-                                   exchange_id id)
+void gateway_engine::answerWithoutExchange(const caller_request &request,
+                                           exchange_outcome outcome,
+                                           std::string_view cause,
+                                           exchange_id id)
 {
     answer_action result;
     result.exchange = id;
     result.outcome = outcome;
     result.cause = cause;
-    result.retryAfter = mostRetryAfter;
+    result.retryAfter = maxRetryAfter;
     result.requestId = request.id;
     result.key = request.key;
     result.version = m_table ? m_table->config().version : 0;
     m_actions.emplace_back(std::move(result));
 }
 
-void gateway_engine::note(const exchange &work,
-                          std::string_view event,
-                          std::string_view cause,
-                          const leaf *about,
-                          const service_name &service,
-                          millis input,
-                          millis now)
+void gateway_engine::logEvent(const exchange &work,
+                              std::string_view event,
+                              std::string_view cause,
+                              const leaf *about,
+                              const service_name &service,
+                              millis input,
+                              millis now)
 {
     m_actions.emplace_back(note_action {work.requestId,
                                         work.key,
@@ -126,21 +125,21 @@
                                         input});
 }
 
-void gateway_engine::noteAsked(exchange &work, const leaf &asked, millis now)
+void gateway_engine::recordAskedLeaf(exchange &work, const leaf &asked, millis now)
 {
     const std::optional<millis> since = asked.leavingSince();
     const std::optional<millis> leavingFor = since ? std::optional(now - *since) : std::nullopt;
-    if (work.asked.leafs.size() < asked_action::mostAskedTold) {
+    if (work.asked.leafs.size() < asked_action::maxLoggedLeafs) {
         work.asked.leafs.push_back({asked.entry.id, now - work.arrivedAt, leavingFor});
     } else {
         work.asked.more += 1;
     }
     if (leavingFor) {
-        note(work, "leaving_leaf_asked", asked.standing(), &asked, asked.entry.service, *leavingFor, now);
+        logEvent(work, "leaving_leaf_asked", asked.standing(), &asked, asked.entry.service, *leavingFor, now);
     }
 }
 
-void gateway_engine::tellAsked(exchange &work)
+void gateway_engine::logAskedLeafs(exchange &work)
 {
     if (work.asked.leafs.empty()) {
         return;
@@ -156,8 +155,8 @@
     if (found == m_exchanges.end()) {
         return;
     }
-    // Most leafs answer within this time anyway, and a connection that is kept needs no new one; what is longer at work
-    // for nobody is stopped. Well inside the half second after which a leaf's work for nobody counts as waste.
+    // Most leafs answer within this time, and the connection is then kept and no new one is needed. Longer work for the
+    // departed caller is cancelled, well within the half second after which such work counts as waste.
     constexpr millis cancelAfter(200);
     for (auto &[sendId, one] : m_sends) {
         if (one.exchange != id) {
@@ -169,11 +168,11 @@
             m_due.push({one.closeAt, due_kind::Send, sendId});
         }
     }
-    settleEvidence(*found->second, now);
-    endTrial(*found->second);
-    dropDelegations(*found->second, true);
-    note(*found->second, "caller_left", "closed", nullptr, {}, now - found->second->arrivedAt, now);
-    tellAsked(*found->second);
+    submitEvidence(*found->second, now);
+    endCanary(*found->second);
+    cancelDelegations(*found->second, true);
+    logEvent(*found->second, "caller_left", "closed", nullptr, {}, now - found->second->arrivedAt, now);
+    logAskedLeafs(*found->second);
     m_exchanges.erase(found);
 }
 
--- a/libs/gateway/src/engine_retries.cpp
+++ b/libs/gateway/src/engine_retries.cpp
@@ -5,18 +5,18 @@
 void gateway_engine::retryCall(exchange &work, std::size_t at, std::string_view cause, millis now)
 {
     shard_call &call = work.calls[at];
-    if (call.open > 0 || call.handed > 0) {
-        return; // another send may still bring it
+    if (call.open > 0 || call.openDelegations > 0) {
+        return; // another send or delegation may still deliver the part
     }
     if (work.isDelegated()) {
-        askElsewhere(work, at, cause, now);
+        retryIfUnreached(work, at, cause, now);
         return;
     }
     if (!maySendMore(work, now)) {
         holdCall(work, at, now);
         return;
     }
-    constexpr unsigned refusalsBeyondAttempts = 2; // sends that did not run are no attempts, yet have an end too
+    constexpr unsigned refusalsBeyondAttempts = 2; // limits the sends that did not run, which don't count as attempts
     const bool mayRunAgain = call.mayHaveRun == 0 || work.route->idempotent;
     const bool attemptsLeft =
         call.mayHaveRun < work.route->maxAttempts && call.sends < work.route->maxAttempts + refusalsBeyondAttempts;
@@ -26,10 +26,10 @@
     }
     const choice chosen = chooseLeaf(work, call, false, now);
     if (!chosen.to && chosen.full && now >= work.cutoff) {
-        call.waiting = true; // late already: it takes what those who can still be in time leave free
+        call.waiting = true; // already late: uses only capacity not needed by requests that can still be in time
         return;
     }
-    if (!chosen.to || !takeBudget(call.service, 0, now)) {
+    if (!chosen.to || !trySpendBudget(call.service, 0, now)) {
         failCall(work, at, chosen.to ? "retry_budget" : cause, now);
         return;
     }
@@ -40,8 +40,8 @@
     exchange &work, std::size_t at, std::string_view cause, const std::shared_ptr<leaf> &to, millis now)
 {
     work.retries += 1;
-    note(work, "resend", cause, to.get(), work.calls[at].service, now - work.arrivedAt, now);
-    askSecond(work, at, to, now);
+    logEvent(work, "resend", cause, to.get(), work.calls[at].service, now - work.arrivedAt, now);
+    sendSecond(work, at, to, now);
 }
 
 void gateway_engine::failCall(exchange &work, std::size_t at, std::string_view cause, millis now)
@@ -50,7 +50,7 @@
     call.missing = true;
     call.nextHedge = millis::never();
     work.missing += 1;
-    note(work, "shard_given_up", cause, nullptr, call.service, now - work.arrivedAt, now);
+    logEvent(work, "shard_given_up", cause, nullptr, call.service, now - work.arrivedAt, now);
     if (!work.route->isGather()) {
         answerUnserved(work, cause, false, now);
         return;
@@ -62,13 +62,13 @@
     finishGatherIfDone(work, now);
 }
 
-void gateway_engine::hedgeDue(exchange &work, millis now)
+void gateway_engine::sendDueHedges(exchange &work, millis now)
 {
-    constexpr double hedgeReserve = 0.3; // of the budget is kept for retries of what has failed
-    constexpr millis lookAgain(10); // when no second leaf is free: pauses end after some tens of milliseconds
+    constexpr double hedgeReserve = 0.3; // share of the budget that is kept for retries of failed sends
+    constexpr millis hedgePollInterval(10); // while no second leaf is available; pauses end after tens of milliseconds
     for (std::size_t at = 0; at < work.calls.size(); ++at) {
         shard_call &call = work.calls[at];
-        const bool underWay = call.open > 0 || call.handed > 0;
+        const bool underWay = call.open > 0 || call.openDelegations > 0;
         if (call.done || call.missing || !underWay || now < call.nextHedge) {
             continue;
         }
@@ -77,17 +77,17 @@
             continue;
         }
         const choice chosen = mayHedge(work, call, now) ? chooseLeaf(work, call, true, now) : choice();
-        if (!chosen.to || !takeBudget(call.service, hedgeReserve, now)) {
-            call.nextHedge = now + lookAgain;
+        if (!chosen.to || !trySpendBudget(call.service, hedgeReserve, now)) {
+            call.nextHedge = now + hedgePollInterval;
             continue;
         }
         work.hedges += 1;
-        note(work, "hedge", "silent", chosen.to.get(), call.service, work.pace->hedgeAfter(), now);
-        askSecond(work, at, chosen.to, now);
+        logEvent(work, "hedge", "silent", chosen.to.get(), call.service, work.latency->hedgeAfter(), now);
+        sendSecond(work, at, chosen.to, now);
     }
 }
 
-void gateway_engine::retryWaiting(exchange &work, millis now)
+void gateway_engine::sendWaiting(exchange &work, millis now)
 {
     for (std::size_t at = 0; at < work.calls.size() && !work.ended; ++at) {
         shard_call &call = work.calls[at];
@@ -96,7 +96,7 @@
         }
         const choice chosen = chooseLeaf(work, call, false, now);
         const bool again = call.sends > 0;
-        if (chosen.to && again && !takeBudget(call.service, 0, now)) {
+        if (chosen.to && again && !trySpendBudget(call.service, 0, now)) {
             call.waiting = false;
             failCall(work, at, "retry_budget", now);
         } else if (chosen.to && again) {
@@ -105,7 +105,7 @@
             sendCall(work, at, chosen.to, now);
         } else if (!chosen.full) {
             call.waiting = false;
-            noteEmptied(work, chosen);
+            recordDrainedZone(work, chosen);
             failCall(work, at, chosen.reason(), now);
         }
     }
--- a/libs/gateway/src/exchange.h
+++ b/libs/gateway/src/exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file One caller's request under way; private to the engine. */
+/** @file State of one request in progress; private to the engine. */
 
 #include <gateway/gateway.h>
 
@@ -11,123 +11,124 @@
 
 namespace chivelock {
 
-/** A leaf silent for this long is not in one of its short pauses: nobody waits for it any more. */
-inline constexpr millis hopelessAfter(350);
+/** Leafs pause for short times. One that has been unresponsive for longer than this gets no further requests. */
+inline constexpr millis maxShortPause(350);
 
 /**
- * A leaf that was slow is tried again after a second or two. Hosts are busy for half a second at a time, and a leaf
- * that is spared for longer than that sends its share of the requests to other zones.
+ * Half-life of a leaf's slowness; a slow leaf is tried again after a second or two. Hosts are busy for half a second at
+ * a time, and while a leaf is avoided for longer than that, its share of the requests goes to other zones.
  */
 inline constexpr millis slownessHalfLife(500);
 
-/** A log line when a leaf passes twice the usual time, whether measured here or told by another VM. */
-inline constexpr double tellSlowAt = 2;
+/** Slowness above which a leaf is logged as slow, whether measured here or reported by another VM. */
+inline constexpr double slowLogThreshold = 2;
 
-/** @return what is left of @p value after @p age. */
-[[nodiscard]] inline double faded(double value, millis age, millis halfLife)
+/** @return @p value after exponential decay over @p age. */
+[[nodiscard]] inline double decayed(double value, millis age, millis halfLife)
 {
     return value * std::exp2(-std::max(age.count(), 0.0) / halfLife.count());
 }
 
-/** @return its times over what is typical, as far as that still counts. */
+/** @return the leaf's response time relative to the typical one, decayed since the last measurement. */
 [[nodiscard]] inline double currentSlowness(const leaf &candidate, millis now)
 {
-    return 1 + faded(candidate.slowness - 1, now - candidate.slownessAt, slownessHalfLife);
+    return 1 + decayed(candidate.slowness - 1, now - candidate.slownessAt, slownessHalfLife);
 }
 
-/** Time in the leaf's queue, in units of one request's time, if @p atWork requests are there. */
-[[nodiscard]] inline double queueOf(double atWork, unsigned slots)
+/** @return the wait in the leaf's queue in units of one request's service time, with @p requestsAtLeaf at the leaf. */
+[[nodiscard]] inline double queuePerSlot(double requestsAtLeaf, unsigned slots)
 {
     const double places = std::max(1U, slots);
-    return std::max(0.0, atWork - places + 1) / places;
+    return std::max(0.0, requestsAtLeaf - places + 1) / places;
 }
 
-/** @return as @ref queueOf, from what this VM has sent and what the leaf told of late. */
-[[nodiscard]] double leafQueue(const leaf &candidate, const route_pace &pace, millis now);
+/** @return as @ref queuePerSlot, from this VM's open sends and the load that the leaf reported recently. */
+[[nodiscard]] double leafQueuePerSlot(const leaf &candidate, const route_pace &latency, millis now);
 
 /**
- * @return the time that a leaf of usual speed needs for a request behind @p queue others. Those are of all routes: a
- * short request waits for long ones, and priced as if they were of its own kind its wait was a third of the true one.
+ * @return the time that a leaf of usual speed needs for a request behind @p queue others. The queued requests are of
+ * all routes: a short request waits for long ones, and an estimate that took them to be of its own route was a third of
+ * the true wait.
  */
-[[nodiscard]] inline millis timeBehind(double queue, const leaf &candidate, const route_pace &pace)
+[[nodiscard]] inline millis timeWithQueue(double queue, const leaf &candidate, const route_pace &latency)
 {
-    const millis typical = pace.typical.estimate();
+    const millis typical = latency.typical.estimate();
     return typical + std::max(candidate.mixedWork, typical) * queue;
 }
 
-/** One shard of a gather, or the whole of a request to one leaf. */
+/** One shard of a gather, or the only call of a request to one leaf. */
 struct gateway_engine::shard_call {
     service_name service;
-    std::vector<std::shared_ptr<leaf>> tried; ///< has a send out or has failed; not asked again
+    std::vector<std::shared_ptr<leaf>> tried; ///< leafs with an open send or a failure; not asked again
     unsigned open = 0; ///< sends without an answer yet
-    unsigned mayHaveRun = 0; ///< sends not proven to have left nothing running
+    unsigned mayHaveRun = 0; ///< sends that may have run; excludes those proven not to have
     unsigned sends = 0;
     millis nextHedge = millis::never();
-    bool waiting = false; ///< not sent yet: no leaf has a free connection
-    bool held = false; ///< not sent, or not sent again, until a leaf has survived the request
-    bool done = false; ///< has its part
-    bool missing = false; ///< given up
-    bool reachedLeaf = false; ///< a leaf got it, also if that refused it
-    bool leafEnded = false; ///< a leaf ended while it ran it
-    std::string lastAsked; ///< id of the leaf that was asked last
-    unsigned handed = 0; ///< pieces of work in other VMs' hands
-    bool helperLate = false; ///< the VM that has it in hand has not spoken when it should have
-    bool pendingTold = false; ///< the VM for which it is may ask a second leaf
-    bool told = false; ///< its end was told to the VM for which it is
+    bool waiting = false; ///< not sent yet, for example because no leaf has a free connection
+    bool held = false; ///< held back: not sent, or not resent, until a leaf has survived the request
+    bool done = false; ///< its part has been received
+    bool missing = false; ///< abandoned
+    bool reachedLeaf = false; ///< a leaf received the request, even if it refused it
+    bool leafEnded = false; ///< a leaf crashed while it ran the request
+    std::string lastAsked; ///< id of the leaf that the request was last sent to
+    unsigned openDelegations = 0; ///< delegations of this call that have not ended
+    bool helperLate = false; ///< the helper's first report is overdue
+    bool pendingReported = false; ///< reported as pending; the delegating VM may ask a second leaf
+    bool reported = false; ///< its result was reported to the delegating VM
     gateway_reply part;
 
-    /** Nobody has been asked for it. */
-    [[nodiscard]] bool isUntouched() const
+    /** @return true if the call was neither sent nor delegated and has no result. */
+    [[nodiscard]] bool isUnassigned() const
     {
-        return !done && !missing && open == 0 && handed == 0 && sends == 0;
+        return !done && !missing && open == 0 && openDelegations == 0 && sends == 0;
     }
 };
 
-/** What one attempt shows of its request; its sends keep it when it has been answered. */
+/** Evidence from one attempt about its request; open sends keep it alive after the attempt was answered. */
 struct gateway_engine::attempt_evidence {
     request_fingerprint key;
     route_digest route = 0;
     attempt_tag attempt = 0;
-    std::set<leaf_digest> ended; ///< leafs that ended while they ran it
-    bool survived = false; ///< a leaf ran it to its end
-    bool alone = false; ///< of a suspect, at one leaf
+    std::set<leaf_digest> crashedLeafs; ///< leafs that crashed while they ran it
+    bool survived = false; ///< a leaf ran it to completion
+    bool singleLeaf = false; ///< the request is suspect and the attempt is sent to one leaf at a time
 };
 
-/** One request. */
+/** One request in progress, from a caller or delegated by another VM. */
 struct gateway_engine::exchange {
     exchange_id id = 0;
     std::string requestId;
     request_fingerprint key;
-    std::shared_ptr<const route_table> table; ///< keeps the route alive, and the shards of one version together
+    std::shared_ptr<const route_table> table; ///< keeps the route alive and all shards at one configuration version
     const gateway_route *route = nullptr;
-    std::optional<gateway_route> ownRoute; ///< of work for another VM: it knows the route, this one what to do
-    route_pace *pace = nullptr;
+    std::optional<gateway_route> ownRoute; ///< built from delegated work; the delegating VM has the configured one
+    route_pace *latency = nullptr;
     millis arrivedAt;
-    millis ways; ///< of the caller's time, spent before and after this VM's part
-    millis limit; ///< final answer then at the latest
-    millis cutoff = millis::never(); ///< a partial answer is given from then on
-    millis sendBy = millis::never(); ///< refused if nothing was sent by then
+    millis networkTime; ///< part of the caller's timeout spent before and after this VM's processing
+    millis limit; ///< latest time of the final answer
+    millis cutoff = millis::never(); ///< from then on a partial answer is given
+    millis sendBy = millis::never(); ///< the request is refused if nothing was sent by then
     millis scheduled = millis::never();
     std::vector<shard_call> calls;
     std::size_t done = 0;
     std::size_t missing = 0;
     zone_name emptiedZone; ///< see @ref answer_action::emptiedZone
-    millis speakBy = millis::never(); ///< the VM for which it is must have heard of it by then
-    bool spoke = false; ///< the VM for which it is has heard of it
-    bool pendingTold = false; ///< and knows which shards are still out
+    millis firstReportDue = millis::never(); ///< latest time of the first report to the delegating VM
+    bool firstReportSent = false; ///< a report was sent to the delegating VM
+    bool pendingReported = false; ///< the pending shards were reported to the delegating VM
     std::vector<delegation_id> delegations;
-    std::map<zone_name, std::size_t> partsIn; ///< of its shards in each zone, see partsOf
-    std::map<std::string, std::vector<std::size_t>> secondSends; ///< calls that go out with this step, by VM
-    bool alone = false; ///< of work for another VM: each shard is told by itself
-    std::vector<std::string> mergedRecords; ///< of parts that other VMs brought
+    std::map<zone_name, std::size_t> partsByZone; ///< number of parts of its shards by zone, see partCount
+    std::map<std::string, std::vector<std::size_t>> secondSends; ///< calls to delegate at the end of this step, by VM
+    bool reportSeparately = false; ///< of delegated work: each shard is reported separately
+    std::vector<std::string> mergedRecords; ///< records of parts that other VMs delivered
     std::shared_ptr<attempt_evidence> evidence;
-    std::size_t trialWidth = 0; ///< leafs that may be asked before one has survived it; 0 for any number
+    std::size_t canaryLimit = 0; ///< canary requests allowed before a leaf has survived the request; 0 for no limit
     asked_action asked; ///< for the log
-    std::optional<gateway_reply> failure; ///< of a request to one leaf: the last failing answer
+    std::optional<gateway_reply> failure; ///< of a request to one leaf: the last failed answer
     unsigned sends = 0;
     unsigned hedges = 0;
     unsigned retries = 0;
-    unsigned handedSeconds = 0; ///< of the hedges and retries, those that other VMs send
+    unsigned handedSeconds = 0; ///< hedges and retries that were delegated to other VMs
     bool ended = false;
 
     [[nodiscard]] bool isDelegated() const
@@ -135,15 +136,16 @@
         return ownRoute.has_value();
     }
 
-    /** A leaf or another VM may still bring something. */
+    /** @return true if a send or a delegation is still open. */
     [[nodiscard]] bool isUnderWay() const
     {
-        return std::ranges::any_of(calls, [](const shard_call &call) { return call.open > 0 || call.handed > 0; });
+        return std::ranges::any_of(calls,
+                                   [](const shard_call &call) { return call.open > 0 || call.openDelegations > 0; });
     }
 
     [[nodiscard]] bool mayHaveRun() const;
 
-    /** Shards that a merged answer needs. */
+    /** @return how many parts a merged answer requires. */
     [[nodiscard]] std::size_t neededParts() const;
 };
 
--- a/libs/gateway/src/leaf_choice.cpp
+++ b/libs/gateway/src/leaf_choice.cpp
@@ -8,56 +8,58 @@
 namespace {
 
 constexpr millis failingHalfLife(3000);
-constexpr double refusingShare = 1; // of the objective, for a leaf that always refuses: the part is lost as with a
-                                    // failure where the budget for second sends is spent, and there refusals are many
-constexpr millis newConnectionCost(3); // a round trip, and a slot of the leaf for some milliseconds
-constexpr double loadFreshWorks = 2; // a reported load is older than the work it speaks of after some work times
-constexpr millis leastLoadFresh(30);
+// Of the objective, for a leaf that always refuses: as after a failure, the part is lost if the retry budget is spent,
+// which happens where refusals are frequent.
+constexpr double refusalCostShare = 1;
+constexpr millis newConnectionCost(3); // a round trip, and some milliseconds of a slot of the leaf
+constexpr double loadFreshnessFactor = 2; // a reported load is outdated after this many request times
+constexpr millis minLoadFreshness(30);
 constexpr double otherZoneShare = 0.3; // of the objective, see expectedCost
-constexpr millis otherZoneDelay(1); // there and back
-constexpr double coldShare = 0.6; // slower by that share of the typical time after its start
-constexpr double tieShare = 0.1; // random share, so that VMs with equal views do not all choose the same leaf
-constexpr double stallShare = 0.5; // of the objective: what a stalled leaf is expected to cost more
-constexpr double leavingShare = 4; // of the objective: asked only if no other leaf of the service may be
-constexpr millis drainMargin(800); // for a request to reach the leaf: a new connection, and a leaf that reads late
-
-/** From sending to the answer, queue and all. */
-millis expectedTime(const leaf &candidate, const route_pace &pace, millis now)
+constexpr millis otherZoneDelay(1); // round trip
+constexpr double coldShare = 0.6; // of the typical time: how much slower a leaf is after its start
+constexpr double tieBreakShare = 0.1; // random share, so that VMs with equal data do not all choose the same leaf
+constexpr double stallShare = 0.5; // of the objective: expected additional cost of a stalled leaf
+constexpr double leavingShare = 4; // of the objective: asked only if no other leaf of the service can be
+constexpr millis drainMargin(800); // for a request to reach the leaf: a new connection, and a leaf slow to read
+
+/** @return the expected time from the send to the answer, including the queue. */
+millis expectedTime(const leaf &candidate, const route_pace &latency, millis now)
 {
-    return timeBehind(leafQueue(candidate, pace, now), candidate, pace) * currentSlowness(candidate, now);
+    return timeWithQueue(leafQueuePerSlot(candidate, latency, now), candidate, latency)
+        * currentSlowness(candidate, now);
 }
 
-/** @return requests a second that the leaf bears from the whole fleet as it is now; 0 for any number. */
-double bearsNow(const leaf &candidate, const route_table *table, millis now)
+/** @return requests per second that the leaf can handle from the whole fleet while it is cold; 0 for no limit. */
+double coldCapacity(const leaf &candidate, const route_table *table, millis now)
 {
     return now < candidate.coldUntil && table != nullptr ? table->coldPerSecond(candidate.entry.service) : 0;
 }
 
 } // namespace
 
-double leafQueue(const leaf &candidate, const route_pace &pace, millis now)
+double leafQueuePerSlot(const leaf &candidate, const route_pace &latency, millis now)
 {
-    double atWork = static_cast<double>(candidate.open.size());
+    double requestsAtLeaf = static_cast<double>(candidate.open.size());
     const millis fresh =
-        std::max(leastLoadFresh, pace.typical.estimate() * currentSlowness(candidate, now) * loadFreshWorks);
+        std::max(minLoadFreshness, latency.typical.estimate() * currentSlowness(candidate, now) * loadFreshnessFactor);
     if (now - candidate.loadAt < fresh) {
-        atWork = std::max(atWork, static_cast<double>(candidate.load.running + candidate.load.waiting));
+        requestsAtLeaf = std::max(requestsAtLeaf, static_cast<double>(candidate.load.running + candidate.load.waiting));
     }
-    return queueOf(atWork, candidate.entry.slots);
+    return queuePerSlot(requestsAtLeaf, candidate.entry.slots);
 }
 
 /**
- * All in milliseconds of the objective, of which the whole answer is worth. A part from another zone costs a fixed
- * share of it, whatever the work: as long as an answer comes in time it is worth no more for coming sooner, so a wait
- * in the own zone's queue is cheaper than the bytes until it takes a good part of the time.
+ * @return the cost in milliseconds, where the complete answer is worth the route's objective. A part from another zone
+ * costs a fixed share of the objective, whatever the work: an answer in time gains nothing by being faster, so a wait
+ * in the own zone's queue is cheaper than the traffic between zones until it takes a large part of the time.
  */
-double gateway_engine::expectedCost(const leaf &candidate, const route_pace &pace, millis now)
+double gateway_engine::expectedCost(const leaf &candidate, const route_pace &latency, millis now)
 {
-    const double typical = pace.typical.estimate().count();
-    const double objective = pace.objective.count();
-    double cost = expectedTime(candidate, pace, now).count();
-    cost += objective * faded(candidate.failing, now - candidate.failingAt, failingHalfLife);
-    cost += objective * refusingShare * faded(candidate.refusing, now - candidate.refusingAt, failingHalfLife);
+    const double typical = latency.typical.estimate().count();
+    const double objective = latency.objective.count();
+    double cost = expectedTime(candidate, latency, now).count();
+    cost += objective * decayed(candidate.failing, now - candidate.failingAt, failingHalfLife);
+    cost += objective * refusalCostShare * decayed(candidate.refusing, now - candidate.refusingAt, failingHalfLife);
     if (candidate.keptConnections == 0) {
         cost += newConnectionCost.count();
     }
@@ -71,54 +73,55 @@
         cost += objective * stallShare;
     }
     if (candidate.othersFailAt > candidate.lastReplyAt) {
-        cost += objective * stallShare * faded(1, now - candidate.othersFailAt, failingHalfLife);
+        cost += objective * stallShare * decayed(1, now - candidate.othersFailAt, failingHalfLife);
     }
     if (candidate.isLeaving()) {
         cost += objective * leavingShare;
     }
-    return cost * (1 + tieShare * m_random.uniform());
+    return cost * (1 + tieBreakShare * m_random.uniform());
 }
 
 /**
- * A leaf that gets more than it can do answers nobody in time: each request waits for those before it, and all are late
- * alike. What would not be answered in time because of its queue is not sent, so that what is sent is. A leaf without a
- * queue is asked however slow it seems: a VM on an eighth of a core that is late itself finds all leafs slow, and would
- * give up their shards.
+ * An overloaded leaf answers no request in time: each one waits for those before it, and all are late. Requests that
+ * would be late because of the leaf's queue are therefore not sent, so that the ones that are sent get answers in time.
+ * A leaf without a queue is asked however slow it seems: a VM on an eighth of a core that is late itself measures all
+ * leafs as slow, and would abandon their shards.
  */
-bool gateway_engine::isOverloaded(const leaf &candidate, const route_pace &pace, millis timeLeft, millis now)
+bool gateway_engine::isOverloaded(const leaf &candidate, const route_pace &latency, millis timeLeft, millis now)
 {
-    constexpr double spread = 1.3; // work varies by a third: at the mean, every other one of the last would be late
-    return leafQueue(candidate, pace, now) > 0 && expectedTime(candidate, pace, now) * spread > timeLeft;
+    constexpr double spread = 1.3; // work varies by a third; with the mean, half of the last admitted would be late
+    return leafQueuePerSlot(candidate, latency, now) > 0 && expectedTime(candidate, latency, now) * spread > timeLeft;
 }
 
-bool gateway_engine::setZoneEmptied(const zone_name &zone, bool emptied, millis now)
+bool gateway_engine::setZoneEmptied(const zone_name &zone, bool drained, millis now)
 {
-    return emptied ? m_zones.empty(zone) : m_zones.giveBack(zone, now);
+    return drained ? m_zones.empty(zone) : m_zones.giveBack(zone, now);
 }
 
-/** Whether one request that could go to the zone may, while requests come back to it. */
+/** @return whether a request may go to the zone; a random share may while the zone is being undrained. */
 bool gateway_engine::admits(const zone_name &zone, millis now)
 {
     const double share = m_zones.shareOf(zone, now);
     return share >= 1 || m_random.uniform() < share;
 }
 
-/** See @ref coldTurnOf. Of the leafs that are cold and bear few requests, those whose turn it is not are not asked. */
+/** @return false if the leaf is cold with a limited capacity and this VM has no free admission slot for it; see
+ *  @ref coldTurnOf. */
 bool gateway_engine::mayAskCold(const leaf &candidate, millis now) const
 {
-    const double bears = bearsNow(candidate, m_table.get(), now);
-    if (bears <= 0) {
+    const double capacity = coldCapacity(candidate, m_table.get(), now);
+    if (capacity <= 0) {
         return true;
     }
-    const auto turn = coldTurnOf(digestOf(candidate.entry.id), {m_fleetSize, m_seed}, bears, now);
-    return turn.has_value() && turn != candidate.coldTurnUsed;
+    const auto slot = coldTurnOf(digestOf(candidate.entry.id), {m_fleetSize, m_seed}, capacity, now);
+    return slot.has_value() && slot != candidate.coldTurnUsed;
 }
 
-void gateway_engine::useColdTurn(leaf &asked, millis now) const
+void gateway_engine::useColdSlot(leaf &asked, millis now) const
 {
-    const double bears = bearsNow(asked, m_table.get(), now);
-    if (bears > 0) {
-        asked.coldTurnUsed = coldTurnOf(digestOf(asked.entry.id), {m_fleetSize, m_seed}, bears, now);
+    const double capacity = coldCapacity(asked, m_table.get(), now);
+    if (capacity > 0) {
+        asked.coldTurnUsed = coldTurnOf(digestOf(asked.entry.id), {m_fleetSize, m_seed}, capacity, now);
     }
 }
 
@@ -131,7 +134,7 @@
         return false;
     }
     if (candidate.failuresInRow > 0 && !candidate.open.empty()) {
-        return false; // one request at a time finds out whether it is back
+        return false; // one request at a time probes whether the leaf is back
     }
     if (!mayAskCold(candidate, now)) {
         return false;
@@ -141,7 +144,7 @@
         return false;
     }
     const millis stalled = candidate.stalledSince();
-    return stalled > now || now - stalled < hopelessAfter;
+    return stalled > now || now - stalled < maxShortPause;
 }
 
 unsigned gateway_engine::connectionShare(const service_name &service) const
@@ -154,14 +157,14 @@
 gateway_engine::chooseLeaf(const exchange &work, const shard_call &call, bool forHedge, millis now)
 {
     choice best;
-    choice easedIn; // of a zone to which requests come back: for those that have no other leaf
+    choice undraining; // of zones being undrained that did not admit the request; used if there is no other leaf
     const millis timeLeft = (now < work.cutoff ? std::min(work.cutoff, work.limit) : work.limit) - now;
     const unsigned share = connectionShare(call.service);
     const bool late = work.route->isGather() && now >= work.cutoff;
     for (const std::shared_ptr<leaf> &candidate : m_leafs.of(call.service)) {
         const bool tried = std::ranges::find(call.tried, candidate) != call.tried.end();
         if (tried || !mayAsk(*candidate, now)) {
-            best.emptied = m_zones.isEmptied(candidate->entry.zone) ? &candidate->entry.zone : best.emptied;
+            best.drained = m_zones.isEmptied(candidate->entry.zone) ? &candidate->entry.zone : best.drained;
             continue;
         }
         if (candidate->open.size() >= share) {
@@ -169,36 +172,36 @@
             continue;
         }
         if (forHedge && candidate->stalledSince() < now) {
-            continue; // a second request would only wait beside the first
+            continue; // a second request to a stalled leaf would only wait, like the first
         }
-        if (late && leafQueue(*candidate, *work.pace, now) > 0) {
-            best.full = true; // those who can still be answered in time go first
+        if (late && leafQueuePerSlot(*candidate, *work.latency, now) > 0) {
+            best.full = true; // requests that can still be answered in time go first
             continue;
         }
-        if (isOverloaded(*candidate, *work.pace, timeLeft, now)) {
+        if (isOverloaded(*candidate, *work.latency, timeLeft, now)) {
             best.overloaded = true;
             continue;
         }
-        const double cost = expectedCost(*candidate, *work.pace, now);
-        choice &among = admits(candidate->entry.zone, now) ? best : easedIn;
+        const double cost = expectedCost(*candidate, *work.latency, now);
+        choice &among = admits(candidate->entry.zone, now) ? best : undraining;
         if (!among.to || cost < among.cost) {
             among.to = candidate;
             among.cost = cost;
         }
     }
-    if (!best.to && easedIn.to) {
-        best.to = easedIn.to;
-        best.cost = easedIn.cost;
+    if (!best.to && undraining.to) {
+        best.to = undraining.to;
+        best.cost = undraining.cost;
     }
     return best;
 }
 
-const service_name &gateway_engine::pickShare(const gateway_route &route)
+const service_name &gateway_engine::pickSplitService(const gateway_route &route)
 {
     if (route.split.size() == 1) {
         return route.split.front().service;
     }
-    // Smooth weighted turns: each share gains its weight, the richest is taken and pays the sum of all weights.
+    // Smooth weighted round-robin: each share gains its weight, and the chosen one, with the most credit, pays the sum.
     std::vector<double> &credits = m_shareCredits[route.name];
     credits.resize(route.split.size(), 0.0);
     double sum = 0;
@@ -206,9 +209,9 @@
         credits[at] += route.split[at].weight;
         sum += route.split[at].weight;
     }
-    const auto richest = std::ranges::max_element(credits);
-    *richest -= sum;
-    return route.split[static_cast<std::size_t>(richest - credits.begin())].service;
+    const auto highest = std::ranges::max_element(credits);
+    *highest -= sum;
+    return route.split[static_cast<std::size_t>(highest - credits.begin())].service;
 }
 
 } // namespace chivelock
--- a/libs/gateway/src/leaf_reports.cpp
+++ b/libs/gateway/src/leaf_reports.cpp
@@ -1,4 +1,4 @@
-/** @file What VMs tell each other of leafs. */
+/** @file Reports on leafs that VMs exchange. */
 
 #include "exchange.h"
 
@@ -8,26 +8,27 @@
 
 namespace {
 
-constexpr double leastToTell = 1.7; // two slow answers: one alone may be a short pause, which ends before others hear
-constexpr double worthTelling = 1.3; // a factor: about one slow answer more
-constexpr double worthTakingBack = 1.5; // else pauses told one by one, and never taken back, add up to slowness
-constexpr millis ownZoneFresh(1000); // what the own zone found out goes before other zones' word for so long
+constexpr double minReportedSlowness = 1.7; // two slow answers: one may be a pause that ends before the report arrives
+constexpr double reportFactor = 1.3; // factor between reports: about one more slow answer
+constexpr double minRetractedSlowness = 1.5; // reported slowness from which a recovery is reported; otherwise single
+                                             // pauses that are reported and never retracted add up to slowness
+constexpr millis ownZonePrecedence(1000); // observations of the own zone override those of other zones for this long
 
-bool isNews(double slowness, double told)
+bool isWorthReporting(double slowness, double reported)
 {
-    const bool slower = slowness >= leastToTell && slowness > told * worthTelling;
-    const bool asUsual = told >= worthTakingBack && told > slowness * worthTelling;
+    const bool slower = slowness >= minReportedSlowness && slowness > reported * reportFactor;
+    const bool asUsual = reported >= minRetractedSlowness && reported > slowness * reportFactor;
     return slower || asUsual;
 }
 
 } // namespace
 
-void gateway_engine::considerReport(leaf &about, millis now)
+void gateway_engine::reportIfChanged(leaf &about, millis now)
 {
     const bool unreachable = about.downUntil > now;
-    about.toldSlowness = 1 + faded(about.toldSlowness - 1, now - about.toldAt, slownessHalfLife);
+    about.toldSlowness = 1 + decayed(about.toldSlowness - 1, now - about.toldAt, slownessHalfLife);
     about.toldAt = now;
-    if (unreachable == about.toldUnreachable && !isNews(about.slowness, about.toldSlowness)) {
+    if (unreachable == about.toldUnreachable && !isWorthReporting(about.slowness, about.toldSlowness)) {
         return;
     }
     about.toldUnreachable = unreachable;
@@ -46,40 +47,41 @@
 
 std::size_t gateway_engine::onReports(std::span<const leaf_report> reports)
 {
-    const auto changes = std::ranges::count_if(reports, [&](const leaf_report &report) { return takeReport(report); });
+    const auto changes = std::ranges::count_if(reports, [&](const leaf_report &report) { return applyReport(report); });
     return static_cast<std::size_t>(changes);
 }
 
 /**
- * On a fleet of many VMs each one meets a leaf about once a second. If each had to find out alone who is slow, lookups
- * would be late for as long as a slow leaf stays slow. So the newest word counts, whoever said it. A leaf may fail the
- * callers of one zone only: other zones' word counts only where the own zone has none of late. That a leaf is out of
- * reach makes it the last choice and no more: the VM that says so may be cut off.
+ * In a fleet of many VMs each one queries a given leaf about once a second. If each VM had to detect slow leafs alone,
+ * lookups would be late for as long as a slow leaf stays slow. So the newest report counts, whichever VM sent it. A
+ * leaf may fail the callers of one zone only, so a report from another zone counts only if the own zone has no recent
+ * one. A leaf that is reported unreachable becomes the last choice but is not excluded: the reporting VM may itself be
+ * cut off.
  */
-bool gateway_engine::takeReport(const leaf_report &report)
+bool gateway_engine::applyReport(const leaf_report &report)
 {
     const std::shared_ptr<leaf> about = m_leafs.find(report.leaf);
     if (!about || report.observedAt <= about->bornHereAt) {
-        return false; // of nobody, or of an earlier life under the same id
+        return false; // an unknown leaf, or an earlier incarnation with the same id
     }
     const bool ownZone = report.observer == digestOf(m_settings.zone);
     if (report.unreachable) {
         about->othersFailAt = std::max(about->othersFailAt, report.observedAt);
         return false;
     }
-    const millis goesBefore = ownZone ? millis() : ownZoneFresh;
-    if (report.observedAt > about->othersFailAt + goesBefore) {
+    const millis precedence = ownZone ? millis() : ownZonePrecedence;
+    if (report.observedAt > about->othersFailAt + precedence) {
         about->othersFailAt = millis() - millis::never();
     }
-    if (report.observedAt <= about->slownessAt + goesBefore) {
+    if (report.observedAt <= about->slownessAt + precedence) {
         return false;
     }
-    const bool wasSlow = about->slowness >= tellSlowAt;
+    const bool wasSlow = about->slowness >= slowLogThreshold;
     about->slowness = report.slowness;
     about->slownessAt = report.observedAt;
     about->toldSlowness = report.slowness;
     about->toldAt = report.observedAt;
-    return wasSlow != (about->slowness >= tellSlowAt);
+    return wasSlow != (about->slowness >= slowLogThreshold);
 }
 
 } // namespace chivelock
--- a/libs/gateway/src/handed_work.cpp
+++ b/libs/gateway/src/outgoing_delegations.cpp
@@ -1,4 +1,4 @@
-/** @file Shards of a lookup in other VMs' hands: handing them out, what comes back, and what if nothing does. */
+/** @file Delegation of a lookup's shards to other VMs: sending the work, applying reports, reclaiming lost work. */
 
 #include "exchange.h"
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr double silentAfter = 1.3; // of the time by which the first word is due: a busy VM speaks late
-constexpr millis hopMargin(3); // for the message there and back, and the reading of it on a busy small VM
-constexpr millis distrustFor(1500); // a frozen VM costs one lookup in this time, not each
+constexpr double reportTimeoutFactor = 1.3; // times the due time of the first report: a busy VM reports late
+constexpr millis hopMargin(3); // for the message there and back, and for reading it on a busy small VM
+constexpr millis avoidHelperFor(1500); // a frozen VM delays one lookup in this time and not every one
 
 } // namespace
 
@@ -22,27 +22,28 @@
     for (const std::size_t at : calls) {
         shard_call &call = work.calls[at];
         budgetOf(call.service).countRequest(now);
-        call.handed += 1;
+        call.openDelegations += 1;
         call.mayHaveRun += 1;
     }
-    hand(work, helper, std::move(calls), false, now);
+    delegate(work, helper, std::move(calls), false, now);
 }
 
 /**
- * Asks a second leaf, by the VM that has the leaf in its part unless this one has a connection itself: a new one
- * through zones costs a round trip and some milliseconds of a slot of the leaf.
+ * Sends the request to a second leaf. The send is delegated to the VM whose part contains the leaf, unless this VM has
+ * a kept connection to it: a new connection across zones costs a round trip and some milliseconds of a slot of the
+ * leaf.
  */
-void gateway_engine::askSecond(exchange &work, std::size_t at, const std::shared_ptr<leaf> &to, millis now)
+void gateway_engine::sendSecond(exchange &work, std::size_t at, const std::shared_ptr<leaf> &to, millis now)
 {
-    const auto parts = work.partsIn.find(to->entry.zone);
-    const bool apart = parts != work.partsIn.end() && to->keptConnections == 0 && !work.isDelegated();
+    const auto parts = work.partsByZone.find(to->entry.zone);
+    const bool apart = parts != work.partsByZone.end() && to->keptConnections == 0 && !work.isDelegated();
     std::string helper = apart ? helperFor(to->entry.zone, at % parts->second, parts->second, now) : std::string();
     if (helper.empty()) {
         sendCall(work, at, to, now);
         return;
     }
     shard_call &call = work.calls[at];
-    call.handed += 1;
+    call.openDelegations += 1;
     call.mayHaveRun += 1;
     call.sends += 1;
     call.waiting = false;
@@ -51,18 +52,18 @@
     work.secondSends[std::move(helper)].push_back(at);
 }
 
-/** One message for each VM, with all that this step asks of it. */
-void gateway_engine::handSecondSends(exchange &work, millis now)
+/** Delegates the second sends of this step, in one message for each VM. */
+void gateway_engine::delegateSecondSends(exchange &work, millis now)
 {
     for (auto &[helper, calls] : std::exchange(work.secondSends, {})) {
         if (!work.ended) {
-            hand(work, helper, std::move(calls), true, now);
+            delegate(work, helper, std::move(calls), true, now);
         }
     }
 }
 
-/** @param calls of which the attempt is counted already. @param second each is to be told by itself. */
-void gateway_engine::hand(
+/** @param calls whose attempt is already counted. @param second second sends, whose shards are reported separately. */
+void gateway_engine::delegate(
     exchange &work, const std::string &helper, std::vector<std::size_t> calls, bool second, millis now)
 {
     delegate_action action;
@@ -74,7 +75,7 @@
     action.work.attempt = work.evidence->attempt;
     action.work.topRecords = work.route->topRecords;
     action.work.objective = work.route->objective;
-    action.work.speakIn = work.pace->hedgeAfter();
+    action.work.speakIn = work.latency->hedgeAfter();
     action.work.cutoffIn = std::max(work.cutoff - now - hopMargin, hopMargin);
     action.work.limitIn = std::max(work.limit - now - hopMargin, hopMargin);
     action.work.alone = second;
@@ -88,10 +89,10 @@
     delegation made;
     made.exchange = work.id;
     made.helper = helper;
-    made.ended.resize(calls.size());
+    made.shardDone.resize(calls.size());
     made.calls = std::move(calls);
-    made.wordDueIn = action.work.speakIn * silentAfter + hopMargin * 2;
-    m_due.push({now + made.wordDueIn, due_kind::Delegation, action.id});
+    made.firstReportTimeout = action.work.speakIn * reportTimeoutFactor + hopMargin * 2;
+    m_due.push({now + made.firstReportTimeout, due_kind::Delegation, action.id});
     work.delegations.push_back(action.id);
     work.sends += 1;
     m_delegations.emplace(action.id, std::move(made));
@@ -104,15 +105,15 @@
     if (found == m_delegations.end()) {
         return;
     }
-    found->second.heard = true;
+    found->second.reportReceived = true;
     if (found->second.late) {
-        m_distrustedUntil.erase(found->second.helper);
+        m_unresponsiveUntil.erase(found->second.helper);
     }
     exchange &work = *m_exchanges.at(found->second.exchange);
-    takeParts(work, progress, found->second, now);
+    acceptDelegatedParts(work, progress, found->second, now);
     std::vector<lost_shard> lost;
     std::ranges::copy_if(progress.lost, std::back_inserter(lost), [&](const lost_shard &one) {
-        return endsNow(found->second, one.shard);
+        return markShardDone(found->second, one.shard);
     });
     const delegation from = found->second;
     if (progress.last) {
@@ -125,42 +126,42 @@
         }
     }
     for (const pending_shard &pending : progress.pending) {
-        if (pending.shard < from.calls.size() && !from.ended[pending.shard]) {
-            notePending(work, from.calls[pending.shard], pending, now);
+        if (pending.shard < from.calls.size() && !from.shardDone[pending.shard]) {
+            onPendingShard(work, from.calls[pending.shard], pending, now);
         }
     }
     if (!work.ended) {
-        hedgeDue(work, now);
+        sendDueHedges(work, now);
     }
     finishGatherIfDone(work, now);
     settle(work, now);
 }
 
 /**
- * Records of several shards come merged and can't be told apart again. If one of the shards was answered otherwise in
- * the meantime, its records would count twice in the answer; a helper therefore tells shards of which a second leaf may
- * be asked one by one, and what overlaps is left out.
+ * Records of several shards arrive merged and can't be separated again. If one of the shards has been answered by
+ * another source in the meantime, its records would be in the answer twice. A helper therefore reports shards whose
+ * second leaf may be asked one by one, and a report that contains an answered shard is discarded.
  */
-void gateway_engine::takeParts(exchange &work, delegated_progress &progress, delegation &from, millis now)
+void gateway_engine::acceptDelegatedParts(exchange &work, delegated_progress &progress, delegation &from, millis now)
 {
     const auto isOpen = [&](const delegated_part &part) {
-        return part.shard < from.calls.size() && !from.ended[part.shard] && !work.calls[from.calls[part.shard]].done
+        return part.shard < from.calls.size() && !from.shardDone[part.shard] && !work.calls[from.calls[part.shard]].done
             && !work.calls[from.calls[part.shard]].missing;
     };
     const bool allOpen = std::ranges::all_of(progress.parts, isOpen);
     for (delegated_part &part : progress.parts) {
         if (!allOpen && isOpen(part)) {
             progress.lost.push_back({part.shard, true, true, false, {}});
-        } else if (!allOpen && endsNow(from, part.shard)) {
-            work.calls[from.calls[part.shard]].handed -= 1;
+        } else if (!allOpen && markShardDone(from, part.shard)) {
+            work.calls[from.calls[part.shard]].openDelegations -= 1;
         }
-        if (allOpen && endsNow(from, part.shard)) {
+        if (allOpen && markShardDone(from, part.shard)) {
             shard_call &call = work.calls[from.calls[part.shard]];
-            call.handed -= 1;
+            call.openDelegations -= 1;
             call.done = true;
             call.part.stamp = std::move(part.stamp);
             work.done += 1;
-            noteSurvived(work, now);
+            recordSurvived(work, now);
         }
     }
     if (allOpen) {
@@ -168,18 +169,18 @@
     }
 }
 
-/** @return whether this is the last word of a shard of this work, and not said before. */
-bool gateway_engine::endsNow(delegation &from, std::uint32_t shard)
+/** @return true if this is the first final report on the shard; false if it repeats one or the shard is unknown. */
+bool gateway_engine::markShardDone(delegation &from, std::uint32_t shard)
 {
-    if (shard >= from.calls.size() || from.ended[shard]) {
+    if (shard >= from.calls.size() || from.shardDone[shard]) {
         return false;
     }
-    from.ended[shard] = true;
+    from.shardDone[shard] = true;
     return true;
 }
 
-/** The leaf that the helper asked is silent: this VM, which counts the attempts, may ask another. */
-void gateway_engine::notePending(exchange &work, std::size_t at, const pending_shard &pending, millis now)
+/** The helper's leaf has not answered: this VM, which counts the attempts, may hedge with another leaf. */
+void gateway_engine::onPendingShard(exchange &work, std::size_t at, const pending_shard &pending, millis now)
 {
     shard_call &call = work.calls[at];
     if (call.done || call.missing) {
@@ -191,19 +192,19 @@
     call.nextHedge = std::min(call.nextHedge, now);
 }
 
-/** Another VM no longer has the shard in hand; this one goes on if it may. */
+/** The delegation of the shard ended without a part; continues the call here if allowed. */
 void gateway_engine::resumeCall(exchange &work, std::size_t at, const lost_shard &lost, millis now)
 {
     shard_call &call = work.calls[at];
-    call.handed -= 1;
+    call.openDelegations -= 1;
     call.mayHaveRun -= lost.mayHaveRun ? 0 : 1;
     if (lost.leafEnded) {
-        noteEnded(work, lost.leafId);
+        recordLeafCrash(work, lost.leafId);
     }
     if (std::shared_ptr<leaf> asked = m_leafs.find(lost.leafId)) {
         call.tried.push_back(std::move(asked));
     }
-    if (call.done || call.missing || call.open > 0 || call.handed > 0) {
+    if (call.done || call.missing || call.open > 0 || call.openDelegations > 0) {
         return;
     }
     if (lost.mayHaveRun || lost.reachedLeaf) {
@@ -223,35 +224,35 @@
 }
 
 /**
- * A first word that is overdue makes second leafs be asked, as if the first ones were silent; what the helper brings
- * all the same is taken. Only one that says nothing for as long again has lost the work. Taken over at once, the work
- * of helpers that are some milliseconds late would be lost.
+ * When the first report is overdue, second leafs are asked as if the first ones were unresponsive; parts that the
+ * helper still delivers are accepted. The delegation is reclaimed only after the same time has passed again without a
+ * report. Reclaiming immediately would waste the work of helpers that are only some milliseconds late.
  */
-void gateway_engine::onWordDue(delegation_id id, millis now)
+void gateway_engine::onReportOverdue(delegation_id id, millis now)
 {
     const auto found = m_delegations.find(id);
-    if (found == m_delegations.end() || found->second.heard) {
+    if (found == m_delegations.end() || found->second.reportReceived) {
         return;
     }
     if (found->second.late) {
-        takeOver(id, "helper_silent", now);
+        reclaimDelegation(id, "helper_silent", now);
         return;
     }
     delegation &late = found->second;
     late.late = true;
-    m_due.push({now + late.wordDueIn, due_kind::Delegation, id});
-    m_distrustedUntil[late.helper] = now + distrustFor;
+    m_due.push({now + late.firstReportTimeout, due_kind::Delegation, id});
+    m_unresponsiveUntil[late.helper] = now + avoidHelperFor;
     exchange &work = *m_exchanges.at(late.exchange);
-    note(work, "helper_late", "silent", nullptr, {late.helper}, now - work.arrivedAt, now);
+    logEvent(work, "helper_late", "silent", nullptr, {late.helper}, now - work.arrivedAt, now);
     for (const std::size_t at : late.calls) {
         work.calls[at].helperLate = true;
         work.calls[at].nextHedge = std::min(work.calls[at].nextHedge, now);
     }
-    hedgeDue(work, now);
+    sendDueHedges(work, now);
     settle(work, now);
 }
 
-void gateway_engine::takeOver(delegation_id id, std::string_view cause, millis now)
+void gateway_engine::reclaimDelegation(delegation_id id, std::string_view cause, millis now)
 {
     const auto found = m_delegations.find(id);
     if (found == m_delegations.end()) {
@@ -259,14 +260,14 @@
     }
     const delegation ended = std::move(found->second);
     m_delegations.erase(found);
-    m_distrustedUntil[ended.helper] = now + distrustFor;
+    m_unresponsiveUntil[ended.helper] = now + avoidHelperFor;
     m_actions.emplace_back(delegate_cancel_action {id, ended.helper, false, false});
     exchange &work = *m_exchanges.at(ended.exchange);
     std::erase(work.delegations, id);
-    note(work, "helper_given_up", cause, nullptr, {ended.helper}, now - work.arrivedAt, now);
+    logEvent(work, "helper_given_up", cause, nullptr, {ended.helper}, now - work.arrivedAt, now);
     for (std::size_t shard = 0; shard < ended.calls.size(); ++shard) {
-        if (!ended.ended[shard] && !work.ended) {
-            // Whether a leaf got it is not known: it counts as run and as arrived.
+        if (!ended.shardDone[shard] && !work.ended) {
+            // Whether a leaf received the request is unknown, so it counts as received and as run.
             resumeCall(work, ended.calls[shard], {0, true, true, false, {}}, now);
         }
     }
@@ -281,10 +282,10 @@
             lost.push_back(id);
         }
     }
-    std::ranges::for_each(lost, [&](delegation_id id) { takeOver(id, "helper_lost", now); });
+    std::ranges::for_each(lost, [&](delegation_id id) { reclaimDelegation(id, "helper_lost", now); });
 }
 
-void gateway_engine::dropDelegations(exchange &work, bool callerLeft)
+void gateway_engine::cancelDelegations(exchange &work, bool callerLeft)
 {
     for (const delegation_id id : work.delegations) {
         const auto found = m_delegations.find(id);
