--- a/libs/entry/include/entry/entry.h
+++ b/libs/entry/include/entry/entry.h
@@ -40,7 +40,7 @@
     ticket_settings tickets;
     millis lameDuck {2000}; ///< from the start of a stop until an idle process may end
     millis stopLimit {10000}; ///< when a stop ends whatever still runs, with answers
-    millis askPeersFor {1000}; ///< how long a fresh process waits for a peer's revision before it says ready
+    millis peerRevisionTimeout {1000}; ///< how long a fresh process waits for a peer's revision before it says ready
 };
 
 /** Why a process is or is not ready. */
@@ -154,9 +154,9 @@
 
 private:
     /** A ticketed lookup of a caller or peer that runs here. */
-    struct once_run {
+    struct ticketed_run {
         lookup_request request;
-        std::optional<vm_id> askedBy; ///< nothing: a caller of this process
+        std::optional<vm_id> requester; ///< nothing: a caller of this process
         std::uint64_t nonce = 0;
         millis started;
         snapshot_id snapshot;
@@ -165,7 +165,7 @@
     };
 
     /** A ticket that another VM issued, while it is asked. */
-    struct forwarded_use {
+    struct forwarded_ticket_use {
         lookup_request request;
         vm_id issuer;
         millis started;
@@ -174,31 +174,31 @@
 
     struct message_handler;
 
-    void drainRoot(millis now, actions &out);
-    void drainRunner(millis now, actions &out);
-    void settle(millis now, actions &out);
+    void applyRootActions(millis now, actions &out);
+    void applyRunnerActions(millis now, actions &out);
+    void runPendingActions(millis now, actions &out);
     void sendPeer(vm_id to, peer_message message, millis now, actions &out);
-    void deliverLocally(const peer_message &message, millis now);
+    void deliverToSelf(const peer_message &message, millis now);
     void handleHeartbeat(const heartbeat &message, millis now, actions &out);
     void handlePull(vm_id from, const catalogue_pull &pull, millis now, actions &out);
     void handlePush(vm_id from, const catalogue_push &push, millis now, actions &out);
     void pullFrom(vm_id peer, std::uint64_t haveRevision, millis now, actions &out);
-    void afterOffer(offer_verdict verdict, actions &out);
-    void refreshOwned();
+    void onCatalogueOffered(offer_verdict verdict, actions &out);
+    void updateOwnedLeafs();
     [[nodiscard]] own_revisions revisions() const;
 
-    void handleOnce(const lookup_request &request, const kind_entry &kind, millis now, actions &out);
+    void handleNonIdempotent(const lookup_request &request, const kind_entry &kind, millis now, actions &out);
     void issueTicket(const lookup_request &request, millis now, actions &out);
-    void forwardUse(const lookup_request &request, vm_id issuer, millis now, actions &out);
+    void forwardTicketUse(const lookup_request &request, vm_id issuer, millis now, actions &out);
     void handleTicketUse(vm_id from, const ticket_use &use, millis now, actions &out);
     void handleTicketAnswer(vm_id from, const ticket_answer &answer, millis now, actions &out);
-    void useTicket(once_run run, millis now, actions &out);
-    void startOnce(once_run run, std::uint64_t number, millis now, actions &out);
-    void finishOnce(const once_result &result, millis now, actions &out);
-    void replyOnce(const once_run &run, lookup_answer answer, millis now, actions &out);
-    void failForwards(std::optional<vm_id> issuer, millis now, actions &out);
+    void useTicket(ticketed_run run, millis now, actions &out);
+    void startTicketedRun(ticketed_run run, std::uint64_t number, millis now, actions &out);
+    void finishTicketedRun(const at_most_once_result &result, millis now, actions &out);
+    void replyToRequester(const ticketed_run &run, lookup_answer answer, millis now, actions &out);
+    void failForwardedUses(std::optional<vm_id> issuer, millis now, actions &out);
     [[nodiscard]] lookup_answer
-    onceAnswer(const lookup_request &request, lookup_outcome outcome, answer_reason reason, millis retryAfter) const;
+    makeAnswer(const lookup_request &request, lookup_outcome outcome, answer_reason reason, millis retryAfter) const;
     void advanceStop(millis now, actions &out);
 
     entry_settings m_settings;
@@ -215,13 +215,13 @@
     std::uint64_t m_ownedTopology = 0;
     std::optional<millis> m_startedAt;
     millis m_lastTick;
-    bool m_heardPeer = false;
+    bool m_receivedHeartbeat = false;
     millis m_nextPull;
     std::optional<millis> m_stopBegan;
     bool m_stopEnded = false;
     std::uint64_t m_nextNonce = 1;
-    std::map<std::uint64_t, once_run> m_onceRuns; ///< by ticket number
-    std::map<std::uint64_t, forwarded_use> m_forwards; ///< by nonce
+    std::map<std::uint64_t, ticketed_run> m_ticketedRuns; ///< by ticket number
+    std::map<std::uint64_t, forwarded_ticket_use> m_forwardedUses; ///< by nonce
     root_engine::actions m_rootActions;
     runner_engine::actions m_runnerActions;
 };
--- a/libs/entry/src/entry_core.cpp
+++ b/libs/entry/src/entry_core.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr millis pullPause {100}; ///< between two pulls, so that a burst of heartbeats asks once
-constexpr millis expiredAdvice {100};
+constexpr millis minPullInterval {100}; ///< between two pulls, so that a burst of heartbeats asks once
+constexpr millis expiredRetryAfter {100};
 
 } // namespace
 
@@ -46,23 +46,23 @@
         // It waited in a queue, or this process slept, past the caller's time: nothing is sent any more.
         out.emplace_back(caller_answer {
             request.caller,
-            onceAnswer(request, outcomeOfRefusal(!request.ticket.empty()), answer_reason::Expired, expiredAdvice)});
+            makeAnswer(request, outcomeOfRefusal(!request.ticket.empty()), answer_reason::Expired, expiredRetryAfter)});
         return;
     }
     const kind_entry *kind = m_catalogue.current()->find(request.kind);
     if (kind != nullptr && kind->shards == fan_out::ByKey && request.shardKey.empty()) {
         lookup_answer answer =
-            onceAnswer(request, outcomeOfRefusal(!request.ticket.empty()), answer_reason::BadRequest, millis());
+            makeAnswer(request, outcomeOfRefusal(!request.ticket.empty()), answer_reason::BadRequest, millis());
         answer.detail = "this kind needs a key";
         out.emplace_back(caller_answer {request.caller, std::move(answer)});
         return;
     }
     if (kind != nullptr && !kind->repeatable) {
-        handleOnce(request, *kind, now, out);
+        handleNonIdempotent(request, *kind, now, out);
     } else {
         m_root.submit(request, m_members, now, m_rootActions);
     }
-    settle(now, out);
+    runPendingActions(now, out);
 }
 
 /** Hands each kind of peer message to its part. */
@@ -126,32 +126,32 @@
 void entry_core::onPeer(const peer_envelope &envelope, millis now, actions &out)
 {
     std::visit(message_handler {*this, envelope.from, now, out}, envelope.message);
-    settle(now, out);
+    runPendingActions(now, out);
 }
 
 void entry_core::onPeerUnreachable(vm_id vm, millis now, actions &out)
 {
     m_members.onUnreachable(vm, now);
     m_root.onUnreachable(vm, m_members, now, m_rootActions);
-    failForwards(vm, now, out);
-    settle(now, out);
+    failForwardedUses(vm, now, out);
+    runPendingActions(now, out);
 }
 
 void entry_core::onLeafReply(const leaf_reply &reply, millis now, actions &out)
 {
     m_runner.onLeafReply(reply, now, m_runnerActions);
-    settle(now, out);
+    runPendingActions(now, out);
 }
 
 void entry_core::onHealth(const health_report &report, millis now, actions &out)
 {
     m_runner.onHealth(report, now, m_runnerActions);
-    settle(now, out);
+    runPendingActions(now, out);
 }
 
 void entry_core::onCatalogueText(std::string_view text, millis now, actions &out)
 {
-    afterOffer(m_catalogue.offer(text, "platform", now), out);
+    onCatalogueOffered(m_catalogue.offer(text, "platform", now), out);
 }
 
 void entry_core::onTopologyText(std::string_view text, millis now, actions &out)
@@ -174,7 +174,7 @@
     out.emplace_back(publication_noted {"topology", "accepted", std::to_string(m_topology->revision)});
     m_runner.onTopology(m_topology);
     m_root.onTopology(m_topology, now, m_rootActions);
-    settle(now, out);
+    runPendingActions(now, out);
 }
 
 void entry_core::onVmListText(std::string_view text, millis /*now*/, actions &out)
@@ -206,12 +206,12 @@
     for (heartbeat_send &send : m_members.tick(revisions(), now)) {
         out.emplace_back(peer_send {send.to, std::move(send.message)});
     }
-    refreshOwned();
+    updateOwnedLeafs();
     m_runner.tick(now, m_runnerActions);
     m_root.tick(m_members, now, m_rootActions);
-    failForwards(std::nullopt, now, out);
+    failForwardedUses(std::nullopt, now, out);
     m_tickets.forgetExpired(now);
-    settle(now, out);
+    runPendingActions(now, out);
     advanceStop(now, out);
 }
 
@@ -251,20 +251,20 @@
     status.catalogueRefusal = m_catalogue.standingRefusal();
     status.topologyRefusal = m_topologyRefusal;
     status.members = m_members.members();
-    status.lookupsInFlight = m_root.inFlight() + m_onceRuns.size();
+    status.lookupsInFlight = m_root.inFlight() + m_ticketedRuns.size();
     status.shardsInHand = m_runner.taskCount();
     status.leafRequests = m_runner.callCount();
     status.tickets = m_tickets.size();
-    status.heardPeers = m_heardPeer;
-    const bool alone = status.members.size() == 1;
-    const bool askedLongEnough = m_startedAt && now - *m_startedAt >= m_settings.askPeersFor;
+    status.heardPeers = m_receivedHeartbeat;
+    const bool isOnlyMember = status.members.size() == 1;
+    const bool peerRevisionTimedOut = m_startedAt && now - *m_startedAt >= m_settings.peerRevisionTimeout;
     if (m_stopBegan) {
         status.ready = readiness::Stopping;
     } else if (m_vmList.revision == 0) {
         status.ready = readiness::NoVmList;
     } else if (!m_topology) {
         status.ready = readiness::NoTopology;
-    } else if (!m_heardPeer && !alone && !askedLongEnough) {
+    } else if (!m_receivedHeartbeat && !isOnlyMember && !peerRevisionTimedOut) {
         status.ready = readiness::AskingPeers;
     } else if (status.catalogueRevision == 0) {
         status.ready = readiness::NoCatalogue;
@@ -272,16 +272,16 @@
     return status;
 }
 
-void entry_core::settle(millis now, actions &out)
+void entry_core::runPendingActions(millis now, actions &out)
 {
     // Root and runner of this process feed each other; both end with nothing left to say.
     while (!m_rootActions.empty() || !m_runnerActions.empty()) {
-        drainRoot(now, out);
-        drainRunner(now, out);
+        applyRootActions(now, out);
+        applyRunnerActions(now, out);
     }
 }
 
-void entry_core::drainRoot(millis now, actions &out)
+void entry_core::applyRootActions(millis now, actions &out)
 {
     const root_engine::actions pending = std::exchange(m_rootActions, {});
     for (const root_action &action : pending) {
@@ -295,7 +295,7 @@
     }
 }
 
-void entry_core::drainRunner(millis now, actions &out)
+void entry_core::applyRunnerActions(millis now, actions &out)
 {
     runner_engine::actions pending = std::exchange(m_runnerActions, {});
     for (runner_action &action : pending) {
@@ -309,10 +309,10 @@
             sendPeer(reply->to, std::move(reply->reply), now, out);
         } else if (const auto *accept = std::get_if<runner_accept>(&action)) {
             sendPeer(accept->to, accept->accepted, now, out);
-        } else if (const auto *left = std::get_if<leaf_left>(&action)) {
+        } else if (const auto *left = std::get_if<leaving_leaf_report>(&action)) {
             m_members.spread(left->leaf);
-        } else if (const auto *once = std::get_if<once_result>(&action)) {
-            finishOnce(*once, now, out);
+        } else if (const auto *once = std::get_if<at_most_once_result>(&action)) {
+            finishTicketedRun(*once, now, out);
         }
     }
 }
@@ -320,13 +320,13 @@
 void entry_core::sendPeer(vm_id to, peer_message message, millis now, actions &out)
 {
     if (to == m_settings.self) {
-        deliverLocally(message, now);
+        deliverToSelf(message, now);
     } else {
         out.emplace_back(peer_send {to, std::move(message)});
     }
 }
 
-void entry_core::deliverLocally(const peer_message &message, millis now)
+void entry_core::deliverToSelf(const peer_message &message, millis now)
 {
     actions unused;
     std::visit(message_handler {*this, m_settings.self, now, unused}, message);
@@ -334,7 +334,7 @@
 
 void entry_core::handleHeartbeat(const heartbeat &message, millis now, actions &out)
 {
-    m_heardPeer = true;
+    m_receivedHeartbeat = true;
     if (std::optional<heartbeat_send> ack = m_members.onHeartbeat(message, revisions(), now)) {
         out.emplace_back(peer_send {ack->to, std::move(ack->message)});
     }
@@ -347,7 +347,7 @@
 void entry_core::pullFrom(vm_id peer, std::uint64_t haveRevision, millis now, actions &out)
 {
     if (now >= m_nextPull) {
-        m_nextPull = now + pullPause;
+        m_nextPull = now + minPullInterval;
         out.emplace_back(peer_send {peer, catalogue_pull {haveRevision}});
     }
 }
@@ -366,19 +366,19 @@
 {
     const std::string source = "vm-" + std::to_string(from.value);
     if (!push.isDelta) {
-        afterOffer(m_catalogue.offer(push.document, source, now), out);
+        onCatalogueOffered(m_catalogue.offer(push.document, source, now), out);
         return;
     }
     const auto delta = readDelta(push.document);
     const offer_verdict verdict = delta ? m_catalogue.offerDelta(*delta, source, now) : offer_verdict::RefusedDelta;
-    afterOffer(verdict, out);
+    onCatalogueOffered(verdict, out);
     if (verdict == offer_verdict::RefusedDelta) {
         // This store came to its revision by other steps than the peer; the whole document settles it.
         out.emplace_back(peer_send {from, catalogue_pull {0}});
     }
 }
 
-void entry_core::afterOffer(offer_verdict verdict, actions &out)
+void entry_core::onCatalogueOffered(offer_verdict verdict, actions &out)
 {
     if (verdict == offer_verdict::AlreadyInForce) {
         return;
@@ -392,7 +392,7 @@
     }
 }
 
-void entry_core::refreshOwned()
+void entry_core::updateOwnedLeafs()
 {
     if (!m_topology || (m_ownedEpoch == m_members.epoch() && m_ownedTopology == m_topology->revision)) {
         return;
@@ -409,7 +409,7 @@
         }
     }
     std::ranges::sort(owned);
-    m_runner.setOwned(owned);
+    m_runner.setOwnedLeafs(owned);
 }
 
 own_revisions entry_core::revisions() const
@@ -422,19 +422,19 @@
     if (!m_stopBegan || m_stopEnded) {
         return;
     }
-    const bool idle = m_root.inFlight() == 0 && m_runner.taskCount() == 0 && m_onceRuns.empty() && m_forwards.empty();
-    const bool toldLongEnough = now - *m_stopBegan >= m_settings.lameDuck;
-    const bool timeUp = now - *m_stopBegan >= m_settings.stopLimit;
-    if (timeUp && !idle) {
+    const bool idle = m_root.inFlight() == 0 && m_runner.taskCount() == 0 && m_ticketedRuns.empty() && m_forwardedUses.empty();
+    const bool lameDuckOver = now - *m_stopBegan >= m_settings.lameDuck;
+    const bool stopLimitReached = now - *m_stopBegan >= m_settings.stopLimit;
+    if (stopLimitReached && !idle) {
         m_root.stopAll(now, m_rootActions);
-        for (auto &[number, run] : m_onceRuns) {
-            replyOnce(
-                run, onceAnswer(run.request, lookup_outcome::Unknown, answer_reason::Stopping, millis()), now, out);
+        for (auto &[number, run] : m_ticketedRuns) {
+            replyToRequester(
+                run, makeAnswer(run.request, lookup_outcome::Unknown, answer_reason::Stopping, millis()), now, out);
         }
-        m_onceRuns.clear();
-        settle(now, out);
+        m_ticketedRuns.clear();
+        runPendingActions(now, out);
     }
-    if (timeUp || (toldLongEnough && idle)) {
+    if (stopLimitReached || (lameDuckOver && idle)) {
         m_stopEnded = true;
         out.emplace_back(stop_finished {});
     }
--- a/libs/entry/src/once.cpp
+++ b/libs/entry/src/ticketed_lookups.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr millis askAgainSoon {200};
+constexpr millis defaultRetryAfter {200};
 
 /** A ticket belongs to the first request that uses it; never 0, which stands for "no request yet". */
-std::uint64_t digestOf(const lookup_request &request)
+std::uint64_t requestDigest(const lookup_request &request)
 {
     const std::string text = request.kind.value + '\n' + request.shardKey + '\n' + request.body;
     return std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
 }
 
-std::uint64_t numberOf(const lookup_request &request)
+std::uint64_t ticketNumberOf(const lookup_request &request)
 {
     const std::optional<ticket_parts> parts = parseTicket(request.ticket);
     return parts ? parts->number : 0;
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void entry_core::handleOnce(const lookup_request &request, const kind_entry & /*kind*/, millis now, actions &out)
+void entry_core::handleNonIdempotent(const lookup_request &request, const kind_entry & /*kind*/, millis now, actions &out)
 {
     if (request.ticket.empty()) {
         issueTicket(request, now, out);
@@ -33,7 +33,7 @@
     }
     const std::optional<ticket_parts> parts = parseTicket(request.ticket);
     if (!parts) {
-        lookup_answer answer = onceAnswer(request, lookup_outcome::NotRun, answer_reason::BadRequest, millis());
+        lookup_answer answer = makeAnswer(request, lookup_outcome::NotRun, answer_reason::BadRequest, millis());
         answer.detail = "not a ticket";
         out.emplace_back(caller_answer {request.caller, std::move(answer)});
         return;
@@ -41,7 +41,7 @@
     if (parts->issuer == m_settings.self || !m_settings.tickets.onlyIssuer) {
         useTicket({request, std::nullopt, 0, now, {}, {}, false}, now, out);
     } else {
-        forwardUse(request, parts->issuer, now, out);
+        forwardTicketUse(request, parts->issuer, now, out);
     }
 }
 
@@ -49,15 +49,15 @@
 {
     const std::optional<std::string> ticket = m_tickets.issue(now);
     const answer_reason refused = m_stopBegan ? answer_reason::Stopping : answer_reason::TicketTableFull;
-    lookup_answer answer = onceAnswer(request,
+    lookup_answer answer = makeAnswer(request,
                                       lookup_outcome::NotRun,
                                       ticket ? answer_reason::NeedsTicket : refused,
-                                      ticket ? millis() : askAgainSoon);
+                                      ticket ? millis() : defaultRetryAfter);
     answer.ticket = ticket.value_or("");
     out.emplace_back(caller_answer {request.caller, std::move(answer)});
 }
 
-void entry_core::forwardUse(const lookup_request &request, vm_id issuer, millis now, actions &out)
+void entry_core::forwardTicketUse(const lookup_request &request, vm_id issuer, millis now, actions &out)
 {
     const std::optional<member_rumour> member = m_members.find(issuer);
     const std::optional<ticket_parts> parts = parseTicket(request.ticket);
@@ -66,11 +66,11 @@
     if (lost) {
         // The process that could prove that it did not run is gone with its memory.
         out.emplace_back(caller_answer {
-            request.caller, onceAnswer(request, lookup_outcome::Unknown, answer_reason::IssuerUnreachable, millis())});
+            request.caller, makeAnswer(request, lookup_outcome::Unknown, answer_reason::IssuerUnreachable, millis())});
         return;
     }
     const std::uint64_t nonce = m_nextNonce++;
-    m_forwards.emplace(nonce, forwarded_use {request, issuer, now, now + request.remaining});
+    m_forwardedUses.emplace(nonce, forwarded_ticket_use {request, issuer, now, now + request.remaining});
     out.emplace_back(peer_send {issuer,
                                 ticket_use {nonce,
                                             request.ticket,
@@ -95,74 +95,74 @@
 
 void entry_core::handleTicketAnswer(vm_id from, const ticket_answer &message, millis now, actions &out)
 {
-    const auto found = m_forwards.find(message.nonce);
-    if (found == m_forwards.end() || found->second.issuer != from) {
+    const auto found = m_forwardedUses.find(message.nonce);
+    if (found == m_forwardedUses.end() || found->second.issuer != from) {
         return; // Late: the caller was told "unknown"; the issuer keeps the answer for the next question.
     }
     lookup_answer answer = message.answer;
     answer.elapsed = now - found->second.started;
-    answer.priority = onceAnswer(found->second.request, answer.outcome, answer.reason, millis()).priority;
+    answer.priority = makeAnswer(found->second.request, answer.outcome, answer.reason, millis()).priority;
     out.emplace_back(caller_answer {found->second.request.caller, std::move(answer)});
-    m_forwards.erase(found);
+    m_forwardedUses.erase(found);
 }
 
-void entry_core::useTicket(once_run run, millis now, actions &out)
+void entry_core::useTicket(ticketed_run run, millis now, actions &out)
 {
-    const std::uint64_t number = numberOf(run.request);
-    const ticket_verdict verdict = m_tickets.use(run.request.ticket, digestOf(run.request), now);
+    const std::uint64_t number = ticketNumberOf(run.request);
+    const ticket_verdict verdict = m_tickets.use(run.request.ticket, requestDigest(run.request), now);
     switch (verdict) {
     case ticket_verdict::Start:
-        startOnce(std::move(run), number, now, out);
+        startTicketedRun(std::move(run), number, now, out);
         return;
     case ticket_verdict::Done:
-        replyOnce(run, *m_tickets.answerOf(number), now, out);
+        replyToRequester(run, *m_tickets.answerOf(number), now, out);
         return;
     case ticket_verdict::Voided: {
         lookup_answer stored = *m_tickets.answerOf(number);
-        const bool neverUsed = stored.reason == answer_reason::None; // Made void by a stop, before any use.
-        replyOnce(run,
-                  neverUsed ? onceAnswer(run.request, lookup_outcome::NotRun, answer_reason::Stopping, askAgainSoon)
+        const bool voidedBeforeUse = stored.reason == answer_reason::None; // Made void by a stop, before any use.
+        replyToRequester(run,
+                  voidedBeforeUse ? makeAnswer(run.request, lookup_outcome::NotRun, answer_reason::Stopping, defaultRetryAfter)
                             : std::move(stored),
                   now,
                   out);
         return;
     }
     case ticket_verdict::Running:
-        replyOnce(
-            run, onceAnswer(run.request, lookup_outcome::Unknown, answer_reason::Running, askAgainSoon), now, out);
+        replyToRequester(
+            run, makeAnswer(run.request, lookup_outcome::Unknown, answer_reason::Running, defaultRetryAfter), now, out);
         return;
     case ticket_verdict::Unknown:
-        replyOnce(
-            run, onceAnswer(run.request, lookup_outcome::Unknown, answer_reason::TicketUnknown, millis()), now, out);
+        replyToRequester(
+            run, makeAnswer(run.request, lookup_outcome::Unknown, answer_reason::TicketUnknown, millis()), now, out);
         return;
     case ticket_verdict::Mismatch:
-        replyOnce(
-            run, onceAnswer(run.request, lookup_outcome::Unknown, answer_reason::TicketMismatch, millis()), now, out);
+        replyToRequester(
+            run, makeAnswer(run.request, lookup_outcome::Unknown, answer_reason::TicketMismatch, millis()), now, out);
         return;
     }
 }
 
-void entry_core::startOnce(once_run run, std::uint64_t number, millis now, actions &out)
+void entry_core::startTicketedRun(ticketed_run run, std::uint64_t number, millis now, actions &out)
 {
-    const auto giveUp = [&](answer_reason reason, millis retryAfter) {
-        lookup_answer answer = onceAnswer(run.request, lookup_outcome::NotRun, reason, retryAfter);
+    const auto refuseRun = [&](answer_reason reason, millis retryAfter) {
+        lookup_answer answer = makeAnswer(run.request, lookup_outcome::NotRun, reason, retryAfter);
         m_tickets.makeVoid(number, answer);
-        replyOnce(run, std::move(answer), now, out);
+        replyToRequester(run, std::move(answer), now, out);
     };
     const kind_entry *kind = m_catalogue.current()->find(run.request.kind);
     const service_map *map = kind != nullptr && m_topology ? m_topology->findService(kind->service) : nullptr;
     if (map == nullptr) {
-        giveUp(kind == nullptr ? answer_reason::UnknownKind : answer_reason::NoTopology, askAgainSoon);
+        refuseRun(kind == nullptr ? answer_reason::UnknownKind : answer_reason::NoTopology, defaultRetryAfter);
         return;
     }
     if (const std::optional<millis> wait = m_root.limiter().admit(*kind, m_members.listedCount(), now)) {
-        giveUp(answer_reason::KindLimit, *wait);
+        refuseRun(answer_reason::KindLimit, *wait);
         return;
     }
     run.snapshot = map->snapshot;
     run.version = map->version;
-    once_request request;
-    request.onceId = number;
+    at_most_once_request request;
+    request.atMostOnceId = number;
     request.requestId = run.request.requestId;
     request.service = kind->service;
     request.shard = shardOfKey(run.request.shardKey, map->shards);
@@ -172,14 +172,14 @@
     request.maxRows = kind->maxRows;
     request.body = std::make_shared<std::string>(run.request.body);
     request.deadline = now + std::min(run.request.remaining, kind->hardLimit);
-    m_onceRuns.emplace(number, std::move(run));
-    m_runner.onOnce(request, now, m_runnerActions);
+    m_ticketedRuns.emplace(number, std::move(run));
+    m_runner.onAtMostOnceRequest(request, now, m_runnerActions);
 }
 
-void entry_core::finishOnce(const once_result &result, millis now, actions &out)
+void entry_core::finishTicketedRun(const at_most_once_result &result, millis now, actions &out)
 {
-    const auto found = m_onceRuns.find(result.onceId);
-    const bool waiting = found != m_onceRuns.end();
+    const auto found = m_ticketedRuns.find(result.atMostOnceId);
+    const bool waiting = found != m_ticketedRuns.end();
     const lookup_request request = waiting ? found->second.request : lookup_request();
     lookup_outcome outcome = lookup_outcome::Unknown;
     answer_reason reason = answer_reason::Expired;
@@ -193,10 +193,10 @@
         reason = answer_reason::LeafsFailed;
     }
     lookup_answer answer =
-        onceAnswer(request,
+        makeAnswer(request,
                    outcome,
                    reason,
-                   outcome == lookup_outcome::Whole ? millis() : std::max(result.reply.retryAfter, askAgainSoon));
+                   outcome == lookup_outcome::Whole ? millis() : std::max(result.reply.retryAfter, defaultRetryAfter));
     answer.snapshot = result.reply.snapshot;
     answer.version = result.reply.version;
     answer.attempts = result.reply.attempts;
@@ -207,46 +207,46 @@
         answer.missing = {{result.reply.shard, reason}};
     }
     if (outcome == lookup_outcome::Whole) {
-        m_tickets.finish(result.onceId, answer);
+        m_tickets.finish(result.atMostOnceId, answer);
     } else if (outcome == lookup_outcome::NotRun) {
         // Void before the word "not run" leaves this process: no later use of the ticket can start it.
-        m_tickets.makeVoid(result.onceId, answer);
+        m_tickets.makeVoid(result.atMostOnceId, answer);
     }
     if (waiting) {
         answer.elapsed = now - found->second.started;
         m_root.limiter().release(request.kind);
-        replyOnce(found->second, std::move(answer), now, out);
-        m_onceRuns.erase(found);
+        replyToRequester(found->second, std::move(answer), now, out);
+        m_ticketedRuns.erase(found);
     }
 }
 
-void entry_core::replyOnce(const once_run &run, lookup_answer answer, millis /*now*/, actions &out)
+void entry_core::replyToRequester(const ticketed_run &run, lookup_answer answer, millis /*now*/, actions &out)
 {
     answer.requestId = run.request.requestId;
     answer.kind = run.request.kind;
-    if (run.askedBy) {
-        out.emplace_back(peer_send {*run.askedBy, ticket_answer {run.nonce, std::move(answer)}});
+    if (run.requester) {
+        out.emplace_back(peer_send {*run.requester, ticket_answer {run.nonce, std::move(answer)}});
     } else {
         out.emplace_back(caller_answer {run.request.caller, std::move(answer)});
     }
 }
 
-void entry_core::failForwards(std::optional<vm_id> issuer, millis now, actions &out)
+void entry_core::failForwardedUses(std::optional<vm_id> issuer, millis now, actions &out)
 {
-    std::erase_if(m_forwards, [&](const auto &item) {
-        const forwarded_use &forward = item.second;
+    std::erase_if(m_forwardedUses, [&](const auto &item) {
+        const forwarded_ticket_use &forward = item.second;
         const bool lost = issuer && forward.issuer == *issuer;
         const bool late = now >= forward.deadline;
         if (lost || late) {
             const answer_reason reason = lost ? answer_reason::IssuerUnreachable : answer_reason::Expired;
             out.emplace_back(caller_answer {
-                forward.request.caller, onceAnswer(forward.request, lookup_outcome::Unknown, reason, askAgainSoon)});
+                forward.request.caller, makeAnswer(forward.request, lookup_outcome::Unknown, reason, defaultRetryAfter)});
         }
         return lost || late;
     });
 }
 
-lookup_answer entry_core::onceAnswer(const lookup_request &request,
+lookup_answer entry_core::makeAnswer(const lookup_request &request,
                                      lookup_outcome outcome,
                                      answer_reason reason,
                                      millis retryAfter) const
--- a/libs/policy/src/measures.cpp
+++ b/libs/policy/src/budget_and_latency.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr double growth = 1.1; ///< from one bucket to the next
+constexpr double bucketGrowth = 1.1; ///< ratio of the upper bounds of neighbouring buckets
 constexpr double firstBucketMs = 0.05;
-constexpr double fade = 0.999; ///< for each sample, so about a thousand count
+constexpr double decayFactor = 0.999; ///< per sample, so that about the last thousand samples count
 constexpr double meanWeight = 0.02;
 
-std::size_t bucketOf(millis sample, std::size_t count)
+std::size_t bucketIndex(millis sample, std::size_t count)
 {
-    const double steps = std::log(std::max(sample.count(), firstBucketMs) / firstBucketMs) / std::log(growth);
+    const double steps = std::log(std::max(sample.count(), firstBucketMs) / firstBucketMs) / std::log(bucketGrowth);
     return std::min(count - 1, static_cast<std::size_t>(steps));
 }
 
 } // namespace
 
-void ratio_budget::earn()
+void ratio_budget::deposit()
 {
-    m_tokens = std::min(capacity, m_tokens + m_ratio);
+    m_tokens = std::min(maxTokens, m_tokens + m_ratio);
 }
 
-bool ratio_budget::spend()
+bool ratio_budget::tryWithdraw()
 {
     if (m_tokens < 1) {
         return false;
@@ -37,14 +37,15 @@
 
 void latency_sketch::add(millis sample)
 {
-    // Weights grow instead of all buckets fading, which would touch each bucket for each sample; scaled back in time.
+    // New samples get a growing weight: scaling the buckets down instead would touch each of them for every sample.
+    // All weights are scaled back before they grow too large.
     constexpr double largestWeight = 1e9;
-    const double weight = m_total > 0 ? m_total * (1 - fade) + 1 : 1;
-    m_buckets.at(bucketOf(sample, bucketCount)) += weight;
+    const double weight = m_total > 0 ? m_total * (1 - decayFactor) + 1 : 1;
+    m_buckets.at(bucketIndex(sample, bucketCount)) += weight;
     m_total += weight;
     m_mean = m_mean == 0 ? sample.count() : m_mean + meanWeight * (sample.count() - m_mean);
     if (m_total > largestWeight) {
-        const double scale = enoughSamples * 10 / m_total;
+        const double scale = minSamples * 10 / m_total;
         std::ranges::for_each(m_buckets, [scale](double &bucket) { bucket *= scale; });
         m_total *= scale;
     }
@@ -52,7 +53,7 @@
 
 millis latency_sketch::quantile(double share, millis fallback) const
 {
-    if (m_total < enoughSamples) {
+    if (m_total < minSamples) {
         return fallback;
     }
     double wanted = share * m_total;
@@ -61,7 +62,7 @@
         return wanted <= 0;
     });
     const auto index = std::min<std::ptrdiff_t>(reached - m_buckets.begin(), bucketCount - 1);
-    return millis(firstBucketMs * std::pow(growth, static_cast<double>(index) + 1));
+    return millis(firstBucketMs * std::pow(bucketGrowth, static_cast<double>(index) + 1));
 }
 
 millis latency_sketch::mean(millis fallback) const
--- a/libs/policy/src/leaf_table.cpp
+++ b/libs/policy/src/leaf_table.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double latencyWeight = 0.1;
-constexpr double shedFactor = 0.7;
-constexpr double growthPerSuccess = 0.1;
-constexpr millis urgentProbeGap {50}; ///< between probes of a leaf that work waits for
-constexpr millis inUseFor {10000};
+constexpr double shedDecreaseFactor = 0.7;
+constexpr double limitIncreasePerSuccess = 0.1;
+constexpr millis minUrgentProbeInterval {50}; ///< between probes of a leaf that requests wait for
+constexpr millis inUseDuration {10000}; ///< a leaf counts as in use for this long after its last request
 
 } // namespace
 
@@ -21,11 +21,11 @@
     });
     for (const leaf_info &info : document.leafs) {
         leaf_state &state = m_leafs[info.id];
-        const bool isNew = state.info.slots != info.slots || state.shedLimit == 0;
+        const bool isNew = state.info.slots != info.slots || state.concurrencyLimit == 0;
         state.info = info;
         state.incarnation = std::max(state.incarnation, info.incarnation);
         if (isNew) {
-            state.shedLimit = info.slots + m_settings.extraInFlight;
+            state.concurrencyLimit = info.slots + m_settings.extraInFlight;
         }
         if (info.leaving) {
             onLeaving({info.id, info.incarnation});
@@ -33,14 +33,14 @@
     }
 }
 
-void leaf_table::onSign(leaf_id leaf, std::uint64_t incarnation, millis askedAt)
+void leaf_table::onHealthConfirmed(leaf_id leaf, std::uint64_t incarnation, millis askedAt)
 {
     leaf_state *state = find(leaf);
     if (state == nullptr) {
         return;
     }
     state->incarnation = std::max(state->incarnation, incarnation);
-    state->lastSign = std::max(state->lastSign.value_or(askedAt), askedAt);
+    state->healthConfirmedAt = std::max(state->healthConfirmedAt.value_or(askedAt), askedAt);
 }
 
 bool leaf_table::onLeaving(leaving_leaf leaf)
@@ -53,7 +53,7 @@
     return true;
 }
 
-void leaf_table::onCold(leaf_id leaf, bool cold)
+void leaf_table::setCold(leaf_id leaf, bool cold)
 {
     if (leaf_state *state = find(leaf)) {
         state->cold = cold;
@@ -70,30 +70,31 @@
     state->latency =
         state->latency == 0 ? latency.count() : state->latency + latencyWeight * (latency.count() - state->latency);
     const double ceiling = state->info.slots + m_settings.extraInFlight;
-    state->shedLimit = std::min(ceiling, state->shedLimit + growthPerSuccess);
+    state->concurrencyLimit = std::min(ceiling, state->concurrencyLimit + limitIncreasePerSuccess);
 }
 
 void leaf_table::onFailure(leaf_id leaf, millis now)
 {
     leaf_state *state = find(leaf);
-    if (state == nullptr || !m_settings.ejection) {
+    if (state == nullptr || !m_settings.ejectionEnabled) {
         return;
     }
     if (++state->failures >= m_settings.failuresToEject) {
-        state->ejectedUntil = now + m_settings.ejectFor;
+        state->ejectedUntil = now + m_settings.ejectionDuration;
         state->failures = 0;
     }
 }
 
 void leaf_table::onShed(leaf_id leaf)
 {
-    // The published slots are shared with processes that this one does not see; shedding shows that they use them.
+    // The published slots are shared with other processes, whose load is not visible here; shedding shows that they
+    // are in use.
     if (leaf_state *state = find(leaf)) {
-        state->shedLimit = std::max(1.0, state->shedLimit * shedFactor);
+        state->concurrencyLimit = std::max(1.0, state->concurrencyLimit * shedDecreaseFactor);
     }
 }
 
-void leaf_table::onSent(leaf_id leaf, millis now)
+void leaf_table::onCallSent(leaf_id leaf, millis now)
 {
     if (leaf_state *state = find(leaf)) {
         ++state->inFlight;
@@ -101,7 +102,7 @@
     }
 }
 
-void leaf_table::onEnded(leaf_id leaf)
+void leaf_table::onCallEnded(leaf_id leaf)
 {
     leaf_state *state = find(leaf);
     if (state != nullptr && state->inFlight > 0) {
@@ -109,7 +110,7 @@
     }
 }
 
-void leaf_table::onProbed(leaf_id leaf, millis now)
+void leaf_table::onProbeSent(leaf_id leaf, millis now)
 {
     if (leaf_state *state = find(leaf)) {
         state->lastProbe = now;
@@ -119,7 +120,8 @@
 bool leaf_table::mayReceive(leaf_id leaf, millis now) const
 {
     const leaf_state *state = find(leaf);
-    return state != nullptr && !isLeaving(leaf) && state->lastSign && now - *state->lastSign <= m_settings.freshBound;
+    return state != nullptr && !isLeaving(leaf) && state->healthConfirmedAt
+        && now - *state->healthConfirmedAt <= m_settings.freshBound;
 }
 
 bool leaf_table::isLeaving(leaf_id leaf) const
@@ -134,23 +136,23 @@
     return state != nullptr && state->ejectedUntil && now < *state->ejectedUntil;
 }
 
-millis leaf_table::freshUntil(leaf_id leaf) const
+millis leaf_table::healthValidUntil(leaf_id leaf) const
 {
     const leaf_state *state = find(leaf);
-    return state != nullptr && state->lastSign ? *state->lastSign + m_settings.freshBound : millis();
+    return state != nullptr && state->healthConfirmedAt ? *state->healthConfirmedAt + m_settings.freshBound : millis();
 }
 
-std::uint32_t leaf_table::limit(leaf_id leaf, bool withExtra) const
+std::uint32_t leaf_table::inFlightLimit(leaf_id leaf, bool withExtra) const
 {
     const leaf_state *state = find(leaf);
     if (state == nullptr) {
         return 0;
     }
     if (state->cold) {
-        return 1; // A cold leaf is slow at first; a full share of work would make it the straggler of every lookup.
+        return 1; // A cold leaf is slow at first; a full share of requests would make it the straggler of each lookup.
     }
     const std::uint32_t wanted = state->info.slots + (withExtra ? m_settings.extraInFlight : 0);
-    return std::min(wanted, static_cast<std::uint32_t>(state->shedLimit));
+    return std::min(wanted, static_cast<std::uint32_t>(state->concurrencyLimit));
 }
 
 std::uint32_t leaf_table::inFlight(leaf_id leaf) const
@@ -172,15 +174,15 @@
                             : replica_candidate {leaf, 0, millis()};
 }
 
-std::vector<leaf_id> leaf_table::dueForProbe(millis now) const
+std::vector<leaf_id> leaf_table::leafsDueForProbe(millis now) const
 {
     std::vector<leaf_id> due;
     for (const auto &[id, state] : m_leafs) {
-        const bool inUse = state.owned || (state.lastUse && now - *state.lastUse < inUseFor);
-        // Answers do not make a probe needless: a leaf can go on answering while only its health endpoint says that it
-        // leaves, and then nothing else would tell.
-        const bool unasked = !state.lastProbe || now - *state.lastProbe >= m_settings.probeInterval;
-        if (inUse && unasked) {
+        const bool inUse = state.owned || (state.lastUse && now - *state.lastUse < inUseDuration);
+        // Probes are needed in spite of successful answers: a leaf may go on answering while only its health endpoint
+        // reports that it is leaving, which nothing else would reveal.
+        const bool isProbeDue = !state.lastProbe || now - *state.lastProbe >= m_settings.probeInterval;
+        if (inUse && isProbeDue) {
             due.push_back(id);
         }
     }
@@ -192,10 +194,10 @@
 {
     const leaf_state *state = find(leaf);
     return state != nullptr && !mayReceive(leaf, now) && !isLeaving(leaf)
-        && (!state->lastProbe || now - *state->lastProbe >= urgentProbeGap);
+        && (!state->lastProbe || now - *state->lastProbe >= minUrgentProbeInterval);
 }
 
-void leaf_table::setOwned(std::span<const leaf_id> leafs)
+void leaf_table::setOwnedLeafs(std::span<const leaf_id> leafs)
 {
     for (auto &[id, state] : m_leafs) {
         state.owned = std::ranges::binary_search(leafs, id);
--- a/libs/policy/src/runner_engine.cpp
+++ b/libs/policy/src/runner_engine.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/** Maps of a service that are kept: roots that pinned the one before the newest still get their shards run. */
-constexpr std::size_t heldMapVersions = 3;
-constexpr millis probeRound {50};
+/** Map versions kept per service: roots that pinned the version before the newest still get their shards run. */
+constexpr std::size_t maxHeldMapVersions = 3;
+constexpr millis probeRoundInterval {50};
 
 } // namespace
 
-std::size_t runner_engine::place_hash::operator()(const shard_place &place) const noexcept
+std::size_t runner_engine::shard_ref_hash::operator()(const shard_ref &shardRef) const noexcept
 {
-    const std::uint64_t numbers = (static_cast<std::uint64_t>(place.version.value) << 32U) | place.shard.value;
+    const std::uint64_t numbers = (static_cast<std::uint64_t>(shardRef.version.value) << 32U) | shardRef.shard.value;
     return static_cast<std::size_t>(
-        XXH3_64bits_withSeed(place.service.value.data(), place.service.value.size(), numbers));
+        XXH3_64bits_withSeed(shardRef.service.value.data(), shardRef.service.value.size(), numbers));
 }
 
 runner_engine::runner_engine(runner_settings settings, std::uint64_t seed)
@@ -36,7 +36,7 @@
         if (std::ranges::find(held, service.version) == held.end()) {
             held.push_back(service.version);
         }
-        if (held.size() > heldMapVersions) {
+        if (held.size() > maxHeldMapVersions) {
             const map_version oldest = held.front();
             held.pop_front();
             std::erase_if(m_shards, [&](const auto &item) {
@@ -47,10 +47,10 @@
             m_shards[{service.name, service.version, shard.id}].leafs = shard.leafs;
         }
     }
-    m_placesOfLeaf.clear();
-    for (const auto &[place, shard] : m_shards) {
+    m_shardsOfLeaf.clear();
+    for (const auto &[shardRef, shard] : m_shards) {
         std::ranges::for_each(shard.leafs,
-                              [&, &where = place](leaf_id leaf) { m_placesOfLeaf[leaf].push_back(where); });
+                              [&, &where = shardRef](leaf_id leaf) { m_shardsOfLeaf[leaf].push_back(where); });
     }
 }
 
@@ -58,15 +58,15 @@
 {
     out.emplace_back(runner_accept {root, {run.key, run.attempt}});
     for (const shard_id shard : run.shards) {
-        if (isInHand({run.key, run.attempt}, shard)) {
-            continue; // The root asked twice; one run answers both.
+        if (isInProgress({run.key, run.attempt}, shard)) {
+            continue; // Repeated request of the root; the run in progress answers both.
         }
         task entry;
         entry.root = root;
         entry.key = run.key;
         entry.attempt = run.attempt;
         entry.requestId = run.requestId;
-        entry.place = {run.service, run.version, shard};
+        entry.shardRef = {run.service, run.version, shard};
         entry.snapshot = run.snapshot;
         entry.priority = run.priority;
         entry.cameBack = run.cameBack;
@@ -75,31 +75,32 @@
         entry.deadline = now + run.remaining;
         entry.arrived = now;
         const task_id id = m_nextId++;
-        // Looked up for each shard: a refusal at once ends the task, and with the last one the attempt's record.
+        // Looked up again for each shard: admit() may end the task at once, and the last task of an attempt removes its
+        // entry.
         m_attempts[{run.key, run.attempt}].push_back(id);
         admit(id, std::move(entry), now, out);
     }
 }
 
-bool runner_engine::isInHand(const attempt_key &attempt, shard_id shard) const
+bool runner_engine::isInProgress(const attempt_key &attempt, shard_id shard) const
 {
     const auto found = m_attempts.find(attempt);
     return found != m_attempts.end()
-        && std::ranges::any_of(found->second, [&](task_id id) { return m_tasks.at(id).place.shard == shard; });
+        && std::ranges::any_of(found->second, [&](task_id id) { return m_tasks.at(id).shardRef.shard == shard; });
 }
 
-void runner_engine::onOnce(const once_request &request, millis now, actions &out)
+void runner_engine::onAtMostOnceRequest(const at_most_once_request &request, millis now, actions &out)
 {
     task entry;
     entry.requestId = request.requestId;
-    entry.place = {request.service, request.version, request.shard};
+    entry.shardRef = {request.service, request.version, request.shard};
     entry.snapshot = request.snapshot;
     entry.priority = request.priority;
     entry.maxRows = request.maxRows;
     entry.body = request.body;
     entry.deadline = request.deadline;
     entry.arrived = now;
-    entry.onceId = request.onceId;
+    entry.atMostOnceId = request.atMostOnceId;
     admit(m_nextId++, std::move(entry), now, out);
 }
 
@@ -126,7 +127,7 @@
             ++m_counters.cancels;
             out.emplace_back(leaf_cancel {callId, open.leaf});
         }
-        leaveQueue(m_tasks.at(id));
+        markDequeued(m_tasks.at(id));
         m_tasks.erase(id);
     }
 }
@@ -140,36 +141,36 @@
     }
     const call ended = found->second;
     m_calls.erase(found);
-    m_leafs.onEnded(ended.leaf);
-    noteLeafEvidence(reply, ended, now, out);
+    m_leafs.onCallEnded(ended.leaf);
+    updateLeafHealth(reply, ended, now, out);
     const auto owner = m_tasks.find(ended.owner);
     if (owner == m_tasks.end()) {
         m_counters.staleReplies += reply.status == call_status::Ok ? 1 : 0;
-        if (ended.onceId) {
-            tellLateOnce(ended, reply, out);
+        if (ended.atMostOnceId) {
+            reportLateAtMostOnceResult(ended, reply, out);
         }
         redispatchShardsOf(ended.leaf, now, out);
         return;
     }
     task &entry = owner->second;
     std::erase(entry.calls, reply.id);
-    const bool rightOne = !m_settings.checkReplies
-        || (reply.shard == entry.place.shard && reply.snapshot == entry.snapshot
-            && reply.version == entry.place.version);
-    if (reply.status == call_status::Ok && rightOne) {
+    const bool matchesTask = !m_settings.checkReplies
+        || (reply.shard == entry.shardRef.shard && reply.snapshot == entry.snapshot
+            && reply.version == entry.shardRef.version);
+    if (reply.status == call_status::Ok && matchesTask) {
         m_counters.hedgeWins += ended.isHedge ? 1 : 0;
         serviceOf(ended.service).times.add(now - ended.sentAt);
         onValidAnswer(owner->first, reply.id, reply, now, out);
     } else {
         m_counters.mismatchedReplies += reply.status == call_status::Ok ? 1 : 0;
-        onFailedTry(owner->first, ended.leaf, reply, now, out);
+        onFailedCall(owner->first, ended.leaf, reply, now, out);
     }
     redispatchShardsOf(ended.leaf, now, out);
 }
 
-void runner_engine::tellLateOnce(const call &ended, const leaf_reply &reply, actions &out)
+void runner_engine::reportLateAtMostOnceResult(const call &ended, const leaf_reply &reply, actions &out)
 {
-    // The caller was told that the outcome is unknown; the ticket can now tell the outcome to whoever asks again.
+    // The caller has already received an unknown outcome; this result lets the ticket answer later uses.
     const bool refused = reply.status == call_status::Shed || reply.status == call_status::Leaving
         || reply.status == call_status::NotSent;
     if (reply.status != call_status::Ok && !refused) {
@@ -182,7 +183,7 @@
     late.version = reply.version;
     late.rows = reply.rows;
     late.attempts = 1;
-    out.emplace_back(once_result {*ended.onceId, late.status, !refused, std::move(late)});
+    out.emplace_back(at_most_once_result {*ended.atMostOnceId, late.status, !refused, std::move(late)});
 }
 
 void runner_engine::onHealth(const health_report &report, millis now, actions &out)
@@ -190,11 +191,11 @@
     if (report.reachable && report.leaving) {
         const leaving_leaf leaf {report.leaf, report.incarnation};
         if (m_leafs.onLeaving(leaf)) {
-            out.emplace_back(leaf_left {leaf});
+            out.emplace_back(leaving_leaf_report {leaf});
         }
     } else if (report.reachable && (report.serving || report.cold)) {
-        m_leafs.onSign(report.leaf, report.incarnation, report.askedAt);
-        m_leafs.onCold(report.leaf, report.cold);
+        m_leafs.onHealthConfirmed(report.leaf, report.incarnation, report.askedAt);
+        m_leafs.setCold(report.leaf, report.cold);
     }
     redispatchShardsOf(report.leaf, now, out);
 }
@@ -204,9 +205,9 @@
     m_leafs.onLeaving(leaf);
 }
 
-void runner_engine::setOwned(std::span<const leaf_id> leafs)
+void runner_engine::setOwnedLeafs(std::span<const leaf_id> leafs)
 {
-    m_leafs.setOwned(leafs);
+    m_leafs.setOwnedLeafs(leafs);
 }
 
 void runner_engine::tick(millis now, actions &out)
@@ -223,16 +224,16 @@
     if (now < m_nextProbeRound) {
         return;
     }
-    m_nextProbeRound = now + probeRound;
-    for (const leaf_id leaf : m_leafs.dueForProbe(now)) {
-        m_leafs.onProbed(leaf, now);
+    m_nextProbeRound = now + probeRoundInterval;
+    for (const leaf_id leaf : m_leafs.leafsDueForProbe(now)) {
+        m_leafs.onProbeSent(leaf, now);
         out.emplace_back(leaf_probe {leaf, now});
     }
 }
 
-runner_engine::shard_state *runner_engine::findShard(const shard_place &place)
+runner_engine::shard_state *runner_engine::findShard(const shard_ref &shardRef)
 {
-    const auto found = m_shards.find(place);
+    const auto found = m_shards.find(shardRef);
     return found != m_shards.end() ? &found->second : nullptr;
 }
 
@@ -251,24 +252,24 @@
     endTask(id, std::move(answer), now, out);
 }
 
-void runner_engine::onFailedTry(task_id id, leaf_id leaf, const leaf_reply &reply, millis now, actions &out)
+void runner_engine::onFailedCall(task_id id, leaf_id leaf, const leaf_reply &reply, millis now, actions &out)
 {
     task &entry = m_tasks.at(id);
     const bool provenNotRun = reply.status == call_status::NotSent || reply.status == call_status::Shed
         || reply.status == call_status::Leaving || reply.status == call_status::SnapshotGone;
     entry.mayHaveRun = entry.mayHaveRun || !provenNotRun;
-    entry.failedAt.push_back(leaf);
+    entry.failedLeafs.push_back(leaf);
     if (reply.status == call_status::SnapshotGone) {
         entry.sawSnapshotGone = true;
         entry.heldSnapshot = std::max(entry.heldSnapshot, reply.heldSnapshot);
     }
     if (!entry.calls.empty()) {
-        return; // Another try is still out; it decides.
+        return; // Another request for this shard is in flight; its result decides.
     }
     if (mayRetry(entry, reply, now)) {
         m_counters.retries += 1;
         enqueue(id, true);
-        dispatch(shard_place(entry.place), now, out);
+        dispatch(shard_ref(entry.shardRef), now, out);
         return;
     }
     endTask(id, replyFor(entry, statusOfFailure(entry, reply.status)), now, out);
@@ -276,18 +277,19 @@
 
 bool runner_engine::mayRetry(task &entry, const leaf_reply &reply, millis now)
 {
-    const shard_state *shard = findShard(entry.place);
-    const bool onceAndUnproven = entry.onceId && entry.mayHaveRun;
-    if (onceAndUnproven || shard == nullptr || entry.tries >= m_settings.maxTries || cannotFinish(entry, now)) {
+    const shard_state *shard = findShard(entry.shardRef);
+    const bool mayRunTwice = entry.atMostOnceId && entry.mayHaveRun;
+    if (mayRunTwice || shard == nullptr || entry.unhedgedSends >= m_settings.maxSends
+        || cannotFinishInTime(entry, now)) {
         return false;
     }
-    const bool untriedLeft = std::ranges::any_of(shard->leafs, [&](leaf_id leaf) {
-        return std::ranges::find(entry.failedAt, leaf) == entry.failedAt.end() && !m_leafs.isLeaving(leaf);
+    const bool hasUntriedLeaf = std::ranges::any_of(shard->leafs, [&](leaf_id leaf) {
+        return std::ranges::find(entry.failedLeafs, leaf) == entry.failedLeafs.end() && !m_leafs.isLeaving(leaf);
     });
-    if (reply.status == call_status::SnapshotGone && !untriedLeft) {
+    if (reply.status == call_status::SnapshotGone && !hasUntriedLeaf) {
         return false;
     }
-    return serviceOf(entry.place.service).retries.spend();
+    return serviceOf(entry.shardRef.service).retries.tryWithdraw();
 }
 
 shard_status runner_engine::statusOfFailure(const task &entry, call_status last)
@@ -306,12 +308,12 @@
     shard_reply reply;
     reply.key = entry.key;
     reply.attempt = entry.attempt;
-    reply.shard = entry.place.shard;
+    reply.shard = entry.shardRef.shard;
     reply.status = status;
     reply.snapshot = entry.snapshot;
-    reply.version = entry.place.version;
+    reply.version = entry.shardRef.version;
     reply.heldSnapshot = entry.heldSnapshot;
-    reply.attempts = entry.tries + entry.hedges;
+    reply.attempts = entry.unhedgedSends + entry.hedges;
     return reply;
 }
 
@@ -323,16 +325,17 @@
         call &open = m_calls.at(callId);
         open.owner = 0;
         reply.service = std::max(reply.service, now - open.sentAt);
-        if (m_settings.cancelLosers && !entry.onceId) {
+        if (m_settings.cancelLosers && !entry.atMostOnceId) {
             open.cancelled = true;
             ++m_counters.cancels;
             out.emplace_back(leaf_cancel {callId, open.leaf});
-            serviceOf(open.service).times.add(now - open.sentAt); // At least so long; without it the tail looks short.
+            // A lower bound of its service time; leaving it out would underestimate the tail.
+            serviceOf(open.service).times.add(now - open.sentAt);
         }
     }
-    if (entry.onceId) {
+    if (entry.atMostOnceId) {
         const bool sent = !entry.calls.empty() || entry.mayHaveRun || reply.status == shard_status::Ok;
-        out.emplace_back(once_result {*entry.onceId, reply.status, sent, std::move(reply)});
+        out.emplace_back(at_most_once_result {*entry.atMostOnceId, reply.status, sent, std::move(reply)});
     } else {
         const auto attempt = m_attempts.find({entry.key, entry.attempt});
         if (attempt != m_attempts.end()) {
@@ -343,7 +346,7 @@
         }
         out.emplace_back(runner_reply {entry.root, std::move(reply)});
     }
-    leaveQueue(entry);
+    markDequeued(entry);
     m_tasks.erase(found);
 }
 
@@ -354,23 +357,23 @@
         return;
     }
     const task &entry = found->second;
-    const shard_state *shard = findShard(entry.place);
-    const bool neverSent = entry.tries == 0;
+    const shard_state *shard = findShard(entry.shardRef);
+    const bool neverSent = entry.unhedgedSends == 0;
     const bool noneUsable = shard == nullptr
         || std::ranges::none_of(shard->leafs, [&](leaf_id leaf) { return m_leafs.mayReceive(leaf, now); });
     endTask(id, replyFor(entry, neverSent && noneUsable ? shard_status::NoLeaf : shard_status::Expired), now, out);
 }
 
-void runner_engine::noteLeafEvidence(const leaf_reply &reply, const call &ended, millis now, actions &out)
+void runner_engine::updateLeafHealth(const leaf_reply &reply, const call &ended, millis now, actions &out)
 {
     const leaving_leaf leaving {ended.leaf, reply.incarnation};
     if ((reply.saysLeaving || reply.status == call_status::Leaving) && m_leafs.onLeaving(leaving)) {
-        out.emplace_back(leaf_left {leaving});
+        out.emplace_back(leaving_leaf_report {leaving});
     }
     switch (reply.status) {
     case call_status::Ok:
         m_leafs.onSuccess(ended.leaf, now - ended.sentAt);
-        m_leafs.onSign(ended.leaf, reply.incarnation, ended.sentAt);
+        m_leafs.onHealthConfirmed(ended.leaf, reply.incarnation, ended.sentAt);
         break;
     case call_status::Shed:
         ++m_counters.leafSheds;
@@ -390,12 +393,12 @@
 
 void runner_engine::redispatchShardsOf(leaf_id leaf, millis now, actions &out)
 {
-    const auto found = m_placesOfLeaf.find(leaf);
-    if (found == m_placesOfLeaf.end()) {
+    const auto found = m_shardsOfLeaf.find(leaf);
+    if (found == m_shardsOfLeaf.end()) {
         return;
     }
-    const std::vector<shard_place> places = found->second;
-    std::ranges::for_each(places, [&](const shard_place &place) { dispatch(place, now, out); });
+    const std::vector<shard_ref> shardRefs = found->second;
+    std::ranges::for_each(shardRefs, [&](const shard_ref &shardRef) { dispatch(shardRef, now, out); });
 }
 
 } // namespace chivelock
--- a/libs/policy/src/runner_queue.cpp
+++ b/libs/policy/src/runner_queue.cpp
@@ -1,4 +1,4 @@
-/** @file The runner's queues: who is let in, who goes next, who is refused with which time to come back. */
+/** @file The runner's queues: admission, order of dispatch, and refusals with their Retry-After times. */
 
 #include <policy/policy.h>
 
@@ -8,16 +8,16 @@
 
 void runner_engine::admit(task_id id, task &&entry, millis now, actions &out)
 {
-    const shard_place place = entry.place;
+    const shard_ref shardRef = entry.shardRef;
     const millis deadline = entry.deadline;
     task &stored = m_tasks.emplace(id, std::move(entry)).first->second;
-    shard_state *shard = findShard(place);
+    shard_state *shard = findShard(shardRef);
     if (shard == nullptr) {
         endTask(id, replyFor(stored, shard_status::NoLeaf), now, out);
         return;
     }
-    shard->recentReturns += stored.cameBack ? 1 : 0;
-    const millis service = serviceOf(place.service).times.mean(m_settings.firstServiceGuess);
+    shard->recentScheduledRetries += stored.cameBack ? 1 : 0;
+    const millis service = serviceOf(shardRef.service).times.mean(m_settings.initialServiceTime);
     const millis acceptable = (deadline - now - service) * m_settings.queueShare;
     const millis wait = predictedWait(*shard, stored, acceptable, now);
     if (m_settings.admission && wait > millis() && wait > acceptable) {
@@ -26,7 +26,7 @@
     }
     m_timers.push({deadline, timer_purpose::Expire, id});
     enqueue(id, false);
-    dispatch(place, now, out);
+    dispatch(shardRef, now, out);
 }
 
 millis runner_engine::predictedWait(const shard_state &shard, const task &entry, millis acceptable, millis now)
@@ -36,59 +36,62 @@
     for (const leaf_id leaf : shard.leafs) {
         if (!m_leafs.isLeaving(leaf)) {
             busy += m_leafs.inFlight(leaf);
-            slots += std::min(m_leafs.slots(leaf), m_leafs.limit(leaf, true));
+            slots += std::min(m_leafs.slots(leaf), m_leafs.inFlightLimit(leaf, true));
         }
     }
-    // Only what goes before this task counts.
+    // Only tasks that are dispatched before this one count.
     const queue_rank rank = rankOf(entry);
     std::size_t ahead = shard.urgentWaiting;
-    ahead += rank >= queue_rank::Returned ? shard.returnedWaiting : 0;
+    ahead += rank >= queue_rank::ScheduledRetry ? shard.scheduledRetriesWaiting : 0;
     ahead += rank == queue_rank::Ordinary ? shard.ordinaryWaiting : 0;
     if (slots == 0 || busy + ahead < slots) {
         return millis();
     }
-    const millis service = serviceOf(entry.place.service).times.mean(m_settings.firstServiceGuess);
+    const millis service = serviceOf(entry.shardRef.service).times.mean(m_settings.initialServiceTime);
     const millis queued = service * (static_cast<double>(busy + ahead + 1 - slots) / static_cast<double>(slots));
-    // Callers who were told to come back within this wait will go first; without them in the reckoning, new work is
-    // let in only to expire behind them.
-    const bool yields = m_settings.returnedFirst && rank == queue_rank::Ordinary && shard.recentRefusals > 0;
-    // Places that nobody takes must not stand empty: the reckoning counts the share that came back of late.
-    const double obey = yields ? std::min(1.0, shard.recentReturns / shard.recentRefusals) : 0;
-    const millis promised =
-        yields ? std::clamp(shard.nextReturn - now, millis(), std::max(acceptable, millis())) : millis();
-    return queued + promised * obey;
+    // Scheduled retries that fall due during this wait go first. If they were left out of the prediction, new requests
+    // would be admitted only to expire behind them.
+    const bool goesAfterScheduledRetries =
+        m_settings.returnedFirst && rank == queue_rank::Ordinary && shard.recentRefusals > 0;
+    // Capacity reserved for callers that do not retry would stay idle: only the share that recently retried counts.
+    const double scheduledRetryRatio =
+        goesAfterScheduledRetries ? std::min(1.0, shard.recentScheduledRetries / shard.recentRefusals) : 0;
+    const millis reservedWait = goesAfterScheduledRetries
+        ? std::clamp(shard.nextRetryTime - now, millis(), std::max(acceptable, millis()))
+        : millis();
+    return queued + reservedWait * scheduledRetryRatio;
 }
 
-void runner_engine::refuse(task_id id, shard_state &shard, millis excess, millis now, actions &out)
+void runner_engine::refuse(task_id id, shard_state &shard, millis excessWait, millis now, actions &out)
 {
     const task &entry = m_tasks.at(id);
     constexpr double jitterShare = 0.2;
-    constexpr millis longestAdvice {30000};
-    constexpr double leastLeft = 0.1;
-    constexpr double fade = 0.99;
-    constexpr double headroom = 0.9;
+    constexpr millis maxRetryAfter {30000};
+    constexpr double minOrdinaryShare = 0.1;
+    constexpr double decayFactor = 0.99;
+    constexpr double utilizationTarget = 0.9;
     ++m_counters.refusedOverload;
-    shard.recentRefusals = shard.recentRefusals * fade + 1;
-    shard.recentReturns *= fade;
-    // Each refused caller is given its own place after the queue has drained: if all came back at once, the queue
-    // would be as long again, which shows as refusals in waves.
+    shard.recentRefusals = shard.recentRefusals * decayFactor + 1;
+    shard.recentScheduledRetries *= decayFactor;
+    // Each refused caller gets its own retry time after the queue has drained: if all retried at the same time, the
+    // queue would be as long as before, and refusals would come in waves.
     std::size_t slots = 0;
     std::ranges::for_each(shard.leafs, [&](leaf_id leaf) { slots += m_leafs.slots(leaf); });
-    const millis service = serviceOf(entry.place.service).times.mean(m_settings.firstServiceGuess);
-    // Urgent work takes its share of the slots first; places for those who return are in what is left.
-    const double left = std::max(leastLeft, 1 - shard.urgentShare) * headroom;
-    const millis spacing = service * (1.0 / (static_cast<double>(std::max<std::size_t>(slots, 1)) * left));
-    shard.nextReturn = std::max(shard.nextReturn, now) + spacing;
-    const millis drained = std::max(excess, millis()) + (shard.nextReturn - now);
+    const millis service = serviceOf(entry.shardRef.service).times.mean(m_settings.initialServiceTime);
+    // Urgent requests take their share of the slots first; scheduled retries are spread over the remaining capacity.
+    const double ordinaryCapacity = std::max(minOrdinaryShare, 1 - shard.urgentShare) * utilizationTarget;
+    const millis spacing = service * (1.0 / (static_cast<double>(std::max<std::size_t>(slots, 1)) * ordinaryCapacity));
+    shard.nextRetryTime = std::max(shard.nextRetryTime, now) + spacing;
+    const millis retryDelay = std::max(excessWait, millis()) + (shard.nextRetryTime - now);
     shard_reply reply = replyFor(entry, shard_status::Overloaded);
-    reply.retryAfter = std::min(longestAdvice, drained * (1 + jitterShare * m_random.uniform()));
+    reply.retryAfter = std::min(maxRetryAfter, retryDelay * (1 + jitterShare * m_random.uniform()));
     endTask(id, std::move(reply), now, out);
 }
 
 void runner_engine::enqueue(task_id id, bool atFront)
 {
     task &entry = m_tasks.at(id);
-    shard_state *shard = findShard(entry.place);
+    shard_state *shard = findShard(entry.shardRef);
     require(shard != nullptr, "a queued task has a shard");
     const queue_view queue = queueOf(*shard, rankOf(entry));
     entry.queued = true;
@@ -100,9 +103,9 @@
     }
 }
 
-void runner_engine::dispatch(const shard_place &place, millis now, actions &out)
+void runner_engine::dispatch(const shard_ref &shardRef, millis now, actions &out)
 {
-    shard_state *shard = findShard(place);
+    shard_state *shard = findShard(shardRef);
     if (shard == nullptr) {
         return;
     }
@@ -113,14 +116,14 @@
             return;
         }
         task &entry = m_tasks.at(*id);
-        if (m_settings.dropExpired && cannotFinish(entry, now)) {
+        if (m_settings.dropExpired && cannotFinishInTime(entry, now)) {
             ++m_counters.droppedExpired;
             endTask(*id, replyFor(entry, shard_status::Expired), now, out);
             continue;
         }
         const std::optional<leaf_id> leaf = chooseLeaf(*shard, entry, false, now);
         if (!leaf) {
-            probeStale(*shard, now, out);
+            probeStaleLeafs(*shard, now, out);
             enqueue(*id, true);
             return;
         }
@@ -136,19 +139,19 @@
         }
     };
     dropEnded(shard.urgentQueue);
-    dropEnded(shard.returnedQueue);
+    dropEnded(shard.scheduledRetryQueue);
     dropEnded(shard.ordinaryQueue);
-    const bool ordinaryTurn = shard.sendsSinceOrdinary + 1 >= m_settings.ordinaryFloor;
-    const queue_rank lower = shard.returnedQueue.empty() ? queue_rank::Ordinary : queue_rank::Returned;
-    const bool lowerWaits = !queueOf(shard, lower).tasks.empty();
-    const bool takesLower = lowerWaits && (shard.urgentQueue.empty() || ordinaryTurn);
-    std::deque<task_id> &queue = queueOf(shard, takesLower ? lower : queue_rank::Urgent).tasks;
+    const bool ordinaryIsDue = shard.sendsSinceOrdinary + 1 >= m_settings.ordinaryFloor;
+    const queue_rank lowerRank = shard.scheduledRetryQueue.empty() ? queue_rank::Ordinary : queue_rank::ScheduledRetry;
+    const bool hasLowerRank = !queueOf(shard, lowerRank).tasks.empty();
+    const bool servesLowerRank = hasLowerRank && (shard.urgentQueue.empty() || ordinaryIsDue);
+    std::deque<task_id> &queue = queueOf(shard, servesLowerRank ? lowerRank : queue_rank::Urgent).tasks;
     if (queue.empty()) {
         return std::nullopt;
     }
     const task_id id = queue.front();
     queue.pop_front();
-    leaveQueue(m_tasks.at(id));
+    markDequeued(m_tasks.at(id));
     return id;
 }
 
@@ -157,7 +160,7 @@
     if (m_settings.urgentFirst && entry.priority == urgency::Urgent) {
         return queue_rank::Urgent;
     }
-    return m_settings.returnedFirst && entry.cameBack ? queue_rank::Returned : queue_rank::Ordinary;
+    return m_settings.returnedFirst && entry.cameBack ? queue_rank::ScheduledRetry : queue_rank::Ordinary;
 }
 
 runner_engine::queue_view runner_engine::queueOf(shard_state &shard, queue_rank rank)
@@ -165,17 +168,17 @@
     switch (rank) {
     case queue_rank::Urgent:
         return {shard.urgentQueue, shard.urgentWaiting};
-    case queue_rank::Returned:
-        return {shard.returnedQueue, shard.returnedWaiting};
+    case queue_rank::ScheduledRetry:
+        return {shard.scheduledRetryQueue, shard.scheduledRetriesWaiting};
     case queue_rank::Ordinary:
         break;
     }
     return {shard.ordinaryQueue, shard.ordinaryWaiting};
 }
 
-void runner_engine::leaveQueue(task &entry)
+void runner_engine::markDequeued(task &entry)
 {
-    shard_state *shard = findShard(entry.place);
+    shard_state *shard = findShard(entry.shardRef);
     if (!entry.queued || shard == nullptr) {
         return;
     }
@@ -185,12 +188,12 @@
 
 bool runner_engine::queuesEmpty(const shard_state &shard)
 {
-    return waitingIn(shard) == 0;
+    return waitingCount(shard) == 0;
 }
 
-std::size_t runner_engine::waitingIn(const shard_state &shard)
+std::size_t runner_engine::waitingCount(const shard_state &shard)
 {
-    return shard.urgentWaiting + shard.returnedWaiting + shard.ordinaryWaiting;
+    return shard.urgentWaiting + shard.scheduledRetriesWaiting + shard.ordinaryWaiting;
 }
 
 } // namespace chivelock
--- a/libs/policy/src/runner_send.cpp
+++ b/libs/policy/src/runner_send.cpp
@@ -1,4 +1,4 @@
-/** @file The runner's sends: which leaf, when a second request, what is too late. */
+/** @file The runner's sends: leaf selection, hedging, and requests that can no longer meet their deadline. */
 
 #include <policy/policy.h>
 
@@ -10,7 +10,7 @@
 {
     std::size_t slots = 0;
     std::ranges::for_each(shard.leafs, [&](leaf_id leaf) { slots += m_leafs.slots(leaf); });
-    const auto waiting = static_cast<double>(waitingIn(shard));
+    const auto waiting = static_cast<double>(waitingCount(shard));
     return waiting >= m_settings.extraFromWaiting * static_cast<double>(slots);
 }
 
@@ -18,21 +18,21 @@
 {
     const bool withExtra = usesExtra(shard);
     std::vector<replica_candidate> candidates;
-    std::vector<replica_candidate> lastResort;
+    std::vector<replica_candidate> avoidedCandidates;
     for (const leaf_id leaf : shard.leafs) {
-        const std::uint32_t room = onlyIdle ? m_leafs.slots(leaf) : m_leafs.limit(leaf, withExtra);
+        const std::uint32_t room = onlyIdle ? m_leafs.slots(leaf) : m_leafs.inFlightLimit(leaf, withExtra);
         if (!m_leafs.mayReceive(leaf, now) || m_leafs.inFlight(leaf) >= room) {
             continue;
         }
-        const bool failedHere = std::ranges::find(entry.failedAt, leaf) != entry.failedAt.end();
+        const bool failedHere = std::ranges::find(entry.failedLeafs, leaf) != entry.failedLeafs.end();
         const bool avoid = failedHere || m_leafs.isEjected(leaf, now);
-        (avoid ? lastResort : candidates).push_back(m_leafs.candidate(leaf));
+        (avoid ? avoidedCandidates : candidates).push_back(m_leafs.candidate(leaf));
     }
-    // Ejecting most leafs of a shard would turn their trouble into an outage: past the cap they are used all the same.
-    const bool ejectedTooMany =
-        static_cast<double>(lastResort.size()) > m_settings.maxEjectedShare * static_cast<double>(shard.leafs.size());
-    if (candidates.empty() && (ejectedTooMany || shard.leafs.size() == lastResort.size())) {
-        candidates = std::move(lastResort);
+    // Avoiding most leafs of a shard would turn their failures into an outage: above the cap they are used anyway.
+    const bool ejectedTooMany = static_cast<double>(avoidedCandidates.size())
+        > m_settings.maxEjectedShare * static_cast<double>(shard.leafs.size());
+    if (candidates.empty() && (ejectedTooMany || shard.leafs.size() == avoidedCandidates.size())) {
+        candidates = std::move(avoidedCandidates);
     }
     if (candidates.empty()) {
         return std::nullopt;
@@ -43,60 +43,60 @@
     return candidates[chosen].leaf;
 }
 
-void runner_engine::probeStale(const shard_state &shard, millis now, actions &out)
+void runner_engine::probeStaleLeafs(const shard_state &shard, millis now, actions &out)
 {
     for (const leaf_id leaf : shard.leafs) {
         if (m_leafs.needsProbe(leaf, now)) {
-            m_leafs.onProbed(leaf, now);
+            m_leafs.onProbeSent(leaf, now);
             out.emplace_back(leaf_probe {leaf, now});
         }
     }
 }
 
-bool runner_engine::cannotFinish(const task &entry, millis now)
+bool runner_engine::cannotFinishInTime(const task &entry, millis now)
 {
-    constexpr double fastShare = 0.1;
-    const millis fastest = serviceOf(entry.place.service).times.quantile(fastShare, millis());
+    constexpr double fastQuantile = 0.1;
+    const millis fastest = serviceOf(entry.shardRef.service).times.quantile(fastQuantile, millis());
     return now + fastest >= entry.deadline;
 }
 
 void runner_engine::send(task_id id, leaf_id leaf, bool isHedge, millis now, actions &out)
 {
     task &entry = m_tasks.at(id);
-    service_state &service = serviceOf(entry.place.service);
+    service_state &service = serviceOf(entry.shardRef.service);
     const call_id callId = m_nextId++;
-    m_calls.emplace(callId, call {id, leaf, entry.place.service, now, isHedge, false, entry.onceId});
+    m_calls.emplace(callId, call {id, leaf, entry.shardRef.service, now, isHedge, false, entry.atMostOnceId});
     entry.calls.push_back(callId);
-    m_leafs.onSent(leaf, now);
-    if (!isHedge && entry.tries == 0) {
+    m_leafs.onCallSent(leaf, now);
+    if (!isHedge && entry.unhedgedSends == 0) {
         ++m_counters.firstTries;
-        service.hedges.earn();
-        service.retries.earn();
+        service.hedges.deposit();
+        service.retries.deposit();
     }
-    entry.tries += isHedge ? 0 : 1;
-    shard_state *shard = findShard(entry.place);
+    entry.unhedgedSends += isHedge ? 0 : 1;
+    shard_state *shard = findShard(entry.shardRef);
     if (shard != nullptr && !isHedge) {
-        constexpr double shareWeight = 0.02;
+        constexpr double urgentShareWeight = 0.02;
         const double isUrgent = entry.priority == urgency::Urgent ? 1 : 0;
-        shard->urgentShare += shareWeight * (isUrgent - shard->urgentShare);
+        shard->urgentShare += urgentShareWeight * (isUrgent - shard->urgentShare);
         shard->sendsSinceOrdinary = entry.priority == urgency::Ordinary ? 0 : shard->sendsSinceOrdinary + 1;
     }
-    const millis notAfter = std::min(entry.deadline, m_leafs.freshUntil(leaf));
+    const millis notAfter = std::min(entry.deadline, m_leafs.healthValidUntil(leaf));
     out.emplace_back(leaf_call {callId,
                                 leaf,
                                 entry.requestId,
-                                entry.place.service,
-                                entry.place.shard,
+                                entry.shardRef.service,
+                                entry.shardRef.shard,
                                 entry.snapshot,
-                                entry.place.version,
+                                entry.shardRef.version,
                                 entry.priority,
                                 entry.maxRows,
                                 entry.body,
                                 entry.deadline,
                                 notAfter,
-                                entry.onceId.has_value()});
-    if (m_settings.hedging && !entry.onceId && entry.hedges < m_settings.maxHedges) {
-        const millis guess = m_settings.firstServiceGuess * 3;
+                                entry.atMostOnceId.has_value()});
+    if (m_settings.hedging && !entry.atMostOnceId && entry.hedges < m_settings.maxHedges) {
+        const millis guess = m_settings.initialServiceTime * 3;
         m_timers.push({now + service.times.quantile(m_settings.hedgeQuantile, guess), timer_purpose::Hedge, callId});
     }
 }
@@ -105,7 +105,7 @@
 {
     const auto found = m_calls.find(id);
     const auto owner = found != m_calls.end() ? m_tasks.find(found->second.owner) : m_tasks.end();
-    shard_state *shard = owner != m_tasks.end() ? findShard(owner->second.place) : nullptr;
+    shard_state *shard = owner != m_tasks.end() ? findShard(owner->second.shardRef) : nullptr;
     if (shard == nullptr || tryHedge(id, *shard, now, out)) {
         return;
     }
@@ -113,11 +113,11 @@
         shard->dueHedges.push_back(id);
         return;
     }
-    constexpr millis askAgain {2};
-    m_timers.push({now + askAgain, timer_purpose::Hedge, id});
+    constexpr millis recheckInterval {2};
+    m_timers.push({now + recheckInterval, timer_purpose::Hedge, id});
 }
 
-/** @return true if nothing is left to do for this request's hedge: sent, not needed any more, or not affordable. */
+/** @return true if this hedge is settled: sent, no longer needed, or over the hedge budget. */
 bool runner_engine::tryHedge(call_id id, const shard_state &shard, millis now, actions &out)
 {
     const auto found = m_calls.find(id);
@@ -132,7 +132,7 @@
     if (!leaf) {
         return false;
     }
-    if (!serviceOf(entry.place.service).hedges.spend()) {
+    if (!serviceOf(entry.shardRef.service).hedges.tryWithdraw()) {
         return true;
     }
     ++entry.hedges;
