--- a/libs/entry/include/entry/entry.h
+++ b/libs/entry/include/entry/entry.h
@@ -2,9 +2,9 @@
 
 /**
  * @file
- * All decisions of one process, root and runner at once, without input or output: what arrives goes in with the time,
- * what must be done comes out. The daemon connects it to sockets; tests and the bench to fakes in virtual time; others
- * embed it.
+ * All decisions of one process, which acts as both root and runner. It does no I/O: each event is passed in with the
+ * current time, and the resulting actions are returned to the caller. The daemon connects it to sockets; tests and
+ * benchmarks connect it to fakes in virtual time; other programs can embed it.
  */
 
 #include <base/base.h>
@@ -26,21 +26,21 @@
 
 namespace chivelock {
 
-/** Everything that one process is told at its start. */
+/** Start-up settings of one process. */
 struct entry_settings {
     vm_id self;
-    std::uint64_t incarnation = 0; ///< rises with each start of this VM's process
+    std::uint64_t incarnation = 0; ///< increases with each start of this VM's process
     std::string ticketKey; ///< secret bytes, fresh at each start
     std::uint64_t seed = 0;
     membership_settings members;
     runner_settings runner;
     root_settings root;
     root_guards guards; ///< for tests only
-    bool catalogueNeverBack = true; ///< for tests only
+    bool catalogueNeverBack = true; ///< refuses a catalogue with a lower revision; false only in tests
     ticket_settings tickets;
-    millis lameDuck {2000}; ///< from the start of a stop until an idle process may end
-    millis stopLimit {10000}; ///< when a stop ends whatever still runs, with answers
-    millis peerRevisionTimeout {1000}; ///< how long a fresh process waits for a peer's revision before it says ready
+    millis lameDuck {2000}; ///< after the start of a stop, how long even an idle process keeps running
+    millis stopLimit {10000}; ///< after the start of a stop, when lookups still running are answered and ended
+    millis peerRevisionTimeout {1000}; ///< a new process reports ready after this time without a heartbeat from a peer
 };
 
 /** Why a process is or is not ready. */
@@ -55,7 +55,7 @@
 
 [[nodiscard]] std::string_view toString(readiness value);
 
-/** What a process tells of itself. */
+/** Status report of a process. */
 struct entry_status {
     vm_id self;
     std::uint64_t incarnation = 0;
@@ -63,21 +63,21 @@
     std::uint64_t catalogueRevision = 0;
     std::uint64_t topologyRevision = 0;
     std::uint64_t vmListRevision = 0;
-    std::string catalogueRefusal; ///< empty if all is well
+    std::string catalogueRefusal; ///< reason of the newest refusal since the last acceptance; empty if none
     std::string topologyRefusal;
     std::vector<member_rumour> members;
     std::size_t lookupsInFlight = 0;
     std::size_t shardsInHand = 0;
     std::size_t leafRequests = 0;
     std::size_t tickets = 0;
-    bool heardPeers = false; ///< false: what is in force here may be older than what peers hold
+    bool heardPeers = false; ///< whether a peer's heartbeat was received; if not, peers may hold newer documents
 };
 
-/** The process may end now. */
+/** Action: the process may exit now. */
 struct stop_finished {
 };
 
-/** A publication was offered: for the log. */
+/** Action: log the verdict on an offered publication. */
 struct publication_noted {
     std::string document; ///< catalogue, topology or vm_list
     std::string verdict;
@@ -93,7 +93,7 @@
                                   publication_noted,
                                   stop_finished>;
 
-/** Root, runner, membership, catalogue and tickets of one process. */
+/** Combines root, runner, membership, catalogue and tickets of one process. */
 class entry_core
 {
 public:
@@ -113,10 +113,10 @@
     void onVmListText(std::string_view text, millis now, actions &out);
     void tick(millis now, actions &out);
 
-    /** When @ref tick must be called next, at the latest. */
+    /** The latest time at which @ref tick must be called again. */
     [[nodiscard]] millis nextWake() const;
 
-    /** Begins a planned stop: peers and balancer are told, what runs is finished. */
+    /** Begins a planned stop: notifies the peers, reports not ready to the balancer, and finishes running lookups. */
     void beginStop(millis now, actions &out);
 
     [[nodiscard]] entry_status status(millis now) const;
@@ -136,7 +136,7 @@
         return m_root.counters();
     }
 
-    /** The list in force, for the connections to peers and the check of who may connect. */
+    /** The VM list in force, which determines the connections to peers and the peers that may connect. */
     [[nodiscard]] const vm_list_document &vmList() const
     {
         return m_vmList;
@@ -153,10 +153,10 @@
     }
 
 private:
-    /** A ticketed lookup of a caller or peer that runs here. */
+    /** A ticketed lookup that this process runs for a caller or a peer. */
     struct ticketed_run {
         lookup_request request;
-        std::optional<vm_id> requester; ///< nothing: a caller of this process
+        std::optional<vm_id> requester; ///< the peer that forwarded it; empty for a caller of this process
         std::uint64_t nonce = 0;
         millis started;
         snapshot_id snapshot;
@@ -164,7 +164,7 @@
         bool answered = false;
     };
 
-    /** A ticket that another VM issued, while it is asked. */
+    /** A use of a ticket that another VM issued, while the reply of that VM is pending. */
     struct forwarded_ticket_use {
         lookup_request request;
         vm_id issuer;
@@ -176,6 +176,7 @@
 
     void applyRootActions(millis now, actions &out);
     void applyRunnerActions(millis now, actions &out);
+    /** Applies or emits the pending actions of root and runner until both have none left. */
     void runPendingActions(millis now, actions &out);
     void sendPeer(vm_id to, peer_message message, millis now, actions &out);
     void deliverToSelf(const peer_message &message, millis now);
--- a/libs/entry/src/entry_core.cpp
+++ b/libs/entry/src/entry_core.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr millis minPullInterval {100}; ///< between two pulls, so that a burst of heartbeats asks once
+constexpr millis minPullInterval {100}; ///< between two pulls, so that a burst of heartbeats causes a single pull
 constexpr millis expiredRetryAfter {100};
 
 } // namespace
@@ -43,7 +43,7 @@
 void entry_core::onLookup(const lookup_request &request, millis now, actions &out)
 {
     if (request.remaining <= millis()) {
-        // It waited in a queue, or this process slept, past the caller's time: nothing is sent any more.
+        // The caller's deadline passed while the request was queued or during a process pause: it is not run.
         out.emplace_back(caller_answer {
             request.caller,
             makeAnswer(request, outcomeOfRefusal(!request.ticket.empty()), answer_reason::Expired, expiredRetryAfter)});
@@ -65,7 +65,7 @@
     runPendingActions(now, out);
 }
 
-/** Hands each kind of peer message to its part. */
+/** Dispatches each type of peer message to the component that handles it. */
 struct entry_core::message_handler {
     entry_core &core;
     vm_id from;
@@ -217,8 +217,8 @@
 
 millis entry_core::nextWake() const
 {
-    constexpr millis round {20}; ///< membership, probes and stop are looked at this often
-    return std::min({m_root.nextTimer(), m_runner.nextTimer(), m_lastTick + round});
+    constexpr millis maxTickInterval {20}; ///< membership, probes and the stop are checked at least this often
+    return std::min({m_root.nextTimer(), m_runner.nextTimer(), m_lastTick + maxTickInterval});
 }
 
 void entry_core::beginStop(millis now, actions &out)
@@ -274,7 +274,7 @@
 
 void entry_core::runPendingActions(millis now, actions &out)
 {
-    // Root and runner of this process feed each other; both end with nothing left to say.
+    // Root and runner of this process may each produce actions for the other; the loop ends when neither has any left.
     while (!m_rootActions.empty() || !m_runnerActions.empty()) {
         applyRootActions(now, out);
         applyRunnerActions(now, out);
@@ -309,10 +309,10 @@
             sendPeer(reply->to, std::move(reply->reply), now, out);
         } else if (const auto *accept = std::get_if<runner_accept>(&action)) {
             sendPeer(accept->to, accept->accepted, now, out);
-        } else if (const auto *left = std::get_if<leaving_leaf_report>(&action)) {
-            m_members.spread(left->leaf);
-        } else if (const auto *once = std::get_if<at_most_once_result>(&action)) {
-            finishTicketedRun(*once, now, out);
+        } else if (const auto *leaving = std::get_if<leaving_leaf_report>(&action)) {
+            m_members.spread(leaving->leaf);
+        } else if (const auto *result = std::get_if<at_most_once_result>(&action)) {
+            finishTicketedRun(*result, now, out);
         }
     }
 }
@@ -373,7 +373,8 @@
     const offer_verdict verdict = delta ? m_catalogue.offerDelta(*delta, source, now) : offer_verdict::RefusedDelta;
     onCatalogueOffered(verdict, out);
     if (verdict == offer_verdict::RefusedDelta) {
-        // This store came to its revision by other steps than the peer; the whole document settles it.
+        // This store reached its revision by other changes than the peer did, so that the delta does not apply: pull
+        // the full document.
         out.emplace_back(peer_send {from, catalogue_pull {0}});
     }
 }
@@ -422,7 +423,8 @@
     if (!m_stopBegan || m_stopEnded) {
         return;
     }
-    const bool idle = m_root.inFlight() == 0 && m_runner.taskCount() == 0 && m_ticketedRuns.empty() && m_forwardedUses.empty();
+    const bool idle =
+        m_root.inFlight() == 0 && m_runner.taskCount() == 0 && m_ticketedRuns.empty() && m_forwardedUses.empty();
     const bool lameDuckOver = now - *m_stopBegan >= m_settings.lameDuck;
     const bool stopLimitReached = now - *m_stopBegan >= m_settings.stopLimit;
     if (stopLimitReached && !idle) {
--- a/libs/entry/src/ticketed_lookups.cpp
+++ b/libs/entry/src/ticketed_lookups.cpp
@@ -1,3 +1,5 @@
+/** @file Lookups of non-idempotent kinds: ticket issue, use of a ticket here or at its issuer, and results. */
+
 #include <entry/entry.h>
 
 #include <xxhash.h>
@@ -10,7 +12,7 @@
 
 constexpr millis defaultRetryAfter {200};
 
-/** A ticket belongs to the first request that uses it; never 0, which stands for "no request yet". */
+/** Digest that binds a ticket to the first request that uses it; never 0, which means that no request has used it. */
 std::uint64_t requestDigest(const lookup_request &request)
 {
     const std::string text = request.kind.value + '\n' + request.shardKey + '\n' + request.body;
@@ -25,7 +27,10 @@
 
 } // namespace
 
-void entry_core::handleNonIdempotent(const lookup_request &request, const kind_entry & /*kind*/, millis now, actions &out)
+void entry_core::handleNonIdempotent(const lookup_request &request,
+                                     const kind_entry & /*kind*/,
+                                     millis now,
+                                     actions &out)
 {
     if (request.ticket.empty()) {
         issueTicket(request, now, out);
@@ -64,7 +69,7 @@
     const bool otherIncarnation = member && member->incarnation != 0 && member->incarnation != parts->incarnation;
     const bool lost = !member || otherIncarnation || member->state == member_state::Gone;
     if (lost) {
-        // The process that could prove that it did not run is gone with its memory.
+        // The issuing process is lost, and with it the only record that could prove that the request did not run.
         out.emplace_back(caller_answer {
             request.caller, makeAnswer(request, lookup_outcome::Unknown, answer_reason::IssuerUnreachable, millis())});
         return;
@@ -97,7 +102,7 @@
 {
     const auto found = m_forwardedUses.find(message.nonce);
     if (found == m_forwardedUses.end() || found->second.issuer != from) {
-        return; // Late: the caller was told "unknown"; the issuer keeps the answer for the next question.
+        return; // Too late: the caller has received an unknown outcome; the issuer keeps the answer for the next use.
     }
     lookup_answer answer = message.answer;
     answer.elapsed = now - found->second.started;
@@ -119,12 +124,13 @@
         return;
     case ticket_verdict::Voided: {
         lookup_answer stored = *m_tickets.answerOf(number);
-        const bool voidedBeforeUse = stored.reason == answer_reason::None; // Made void by a stop, before any use.
+        const bool voidedBeforeUse = stored.reason == answer_reason::None; // Voided by a planned stop.
         replyToRequester(run,
-                  voidedBeforeUse ? makeAnswer(run.request, lookup_outcome::NotRun, answer_reason::Stopping, defaultRetryAfter)
-                            : std::move(stored),
-                  now,
-                  out);
+                         voidedBeforeUse ? makeAnswer(
+                             run.request, lookup_outcome::NotRun, answer_reason::Stopping, defaultRetryAfter)
+                                         : std::move(stored),
+                         now,
+                         out);
         return;
     }
     case ticket_verdict::Running:
@@ -209,7 +215,7 @@
     if (outcome == lookup_outcome::Whole) {
         m_tickets.finish(result.atMostOnceId, answer);
     } else if (outcome == lookup_outcome::NotRun) {
-        // Void before the word "not run" leaves this process: no later use of the ticket can start it.
+        // Voided before the "not run" answer leaves this process, so that no later use of the ticket can start it.
         m_tickets.makeVoid(result.atMostOnceId, answer);
     }
     if (waiting) {
@@ -239,8 +245,9 @@
         const bool late = now >= forward.deadline;
         if (lost || late) {
             const answer_reason reason = lost ? answer_reason::IssuerUnreachable : answer_reason::Expired;
-            out.emplace_back(caller_answer {
-                forward.request.caller, makeAnswer(forward.request, lookup_outcome::Unknown, reason, defaultRetryAfter)});
+            out.emplace_back(
+                caller_answer {forward.request.caller,
+                               makeAnswer(forward.request, lookup_outcome::Unknown, reason, defaultRetryAfter)});
         }
         return lost || late;
     });
--- a/libs/entry/tests/test_entry.cpp
+++ b/libs/entry/tests/test_entry.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(lookup_through_three_entries_is_whole)
+BOOST_AUTO_TEST_CASE(lookup_through_three_entries_gets_a_complete_answer)
 {
     settled_fleet test;
     const std::size_t caller = test.ask(0, "whole");
@@ -71,10 +71,9 @@
     BOOST_TEST(checkPromises(test.fleet).empty());
 }
 
-// Symptom: an accepted change is in force on one entry only while the platform is down.
-// Sequence: the platform goes down right after the first reader saw the change.
-// Cause: learning changes from the platform only.
-BOOST_AUTO_TEST_CASE(change_spreads_by_peers_while_the_platform_is_down)
+// Guards against an accepted change staying in force on a single entry: the platform goes down right after the first
+// entry has read the change, so that the other entries must receive it from their peers.
+BOOST_AUTO_TEST_CASE(catalogue_change_spreads_through_peers_while_the_platform_is_down)
 {
     settled_fleet test;
     test.fleet.publish(platform_name::Catalogue, catalogueText(2, 50));
@@ -87,10 +86,9 @@
     BOOST_TEST(test.revision(2) == 2);
 }
 
-// Symptom: a fresh VM answers by an old catalogue.
-// Sequence: it starts while the platform serves a stale one, and peers hold a newer one.
-// Cause: saying ready before asking peers.
-BOOST_AUTO_TEST_CASE(fresh_vm_asks_peers_before_it_is_ready)
+// Guards against a new VM that answers from an old catalogue: it starts while the platform serves an old catalogue and
+// its peers hold a newer one, so that it must not report ready before it has contacted them.
+BOOST_AUTO_TEST_CASE(new_vm_pulls_newer_catalogue_from_peers_before_it_is_ready)
 {
     settled_fleet test;
     test.fleet.publish(platform_name::Catalogue, catalogueText(2, 50));
@@ -98,21 +96,21 @@
     test.fleet.publish(platform_name::Catalogue, catalogueText(1));
     test.fleet.killEntry(2);
     test.fleet.startEntry(2);
-    bool readyBehind = false;
+    bool readyWithOldCatalogue = false;
     for (int round = 0; round < 300; ++round) {
         test.run(millis(10));
         const entry_status status = test.fleet.core(2).status(test.fleet.time().now());
-        readyBehind = readyBehind || (status.ready == readiness::Ready && status.catalogueRevision < 2);
+        readyWithOldCatalogue =
+            readyWithOldCatalogue || (status.ready == readiness::Ready && status.catalogueRevision < 2);
     }
-    BOOST_TEST(!readyBehind);
+    BOOST_TEST(!readyWithOldCatalogue);
     BOOST_TEST(test.revision(2) == 2);
     BOOST_TEST((test.fleet.core(2).status(test.fleet.time().now()).ready == readiness::Ready));
 }
 
-// Symptom: "not run" is said of a claim that ran.
-// Sequence: the issuer runs it and restarts; the caller asks another entry with the same ticket.
-// Cause: taking the missing memory for proof.
-BOOST_AUTO_TEST_CASE(ticket_of_a_restarted_issuer_is_unknown_and_runs_nowhere)
+// Guards against reporting "not run" for a claim that ran: the issuer of the ticket runs the claim and restarts, and
+// the caller uses the same ticket at another entry. The lost record of the issuer must not count as proof.
+BOOST_AUTO_TEST_CASE(ticket_of_a_restarted_issuer_is_answered_unknown_and_does_not_run_again)
 {
     settled_fleet test;
     const std::size_t first = test.ask(0, "claim");
@@ -133,10 +131,9 @@
     BOOST_TEST(test.fleet.ledger().at("claim").size() == 1);
 }
 
-// Symptom: "not run" is said at the door to a caller whose ticket had been used.
-// Sequence: a ticketed request waits in a process that sleeps past its limit; the ticket was used before.
-// Cause: a refusal at the door spoke for the ticket. Found by the fault matrix.
-BOOST_AUTO_TEST_CASE(refusal_at_the_door_does_not_speak_for_a_ticket)
+// Guards against reporting "not run" for a ticket that has been used: a second request with the ticket expires during a
+// process pause of another entry. Refusing that request proves nothing about the first use of the ticket.
+BOOST_AUTO_TEST_CASE(refusal_of_an_expired_request_leaves_the_outcome_of_its_ticket_unknown)
 {
     settled_fleet test;
     const std::size_t first = test.ask(0, "claim");
@@ -153,7 +150,7 @@
     BOOST_TEST(checkPromises(test.fleet).empty());
 }
 
-BOOST_AUTO_TEST_CASE(planned_stop_finishes_what_runs_and_issues_no_ticket)
+BOOST_AUTO_TEST_CASE(planned_stop_finishes_running_lookups_and_issues_no_ticket)
 {
     settled_fleet test;
     const std::size_t before = test.ask(1, "whole");
@@ -169,7 +166,7 @@
     BOOST_TEST(test.fleet.hasEnded(1));
 }
 
-BOOST_AUTO_TEST_CASE(both_sides_of_a_partition_go_on_answering_wholly)
+BOOST_AUTO_TEST_CASE(both_sides_of_a_partition_keep_giving_complete_answers)
 {
     settled_fleet test;
     for (std::size_t other = 1; other < 3; ++other) {
