--- a/libs/fleet/include/fleet/fleet.h
+++ b/libs/fleet/include/fleet/fleet.h
@@ -2,9 +2,10 @@
 
 /**
  * @file
- * How a fleet learns what the platform's store says with few calls: one process reads, the others follow it in a tree,
- * each passing on what it hears to a few more. Nobody is elected and nothing is agreed: a process that hears no one in
- * time reads for itself, so the tree saves calls and nothing rests on it. No input or output, no thread, no clock.
+ * Distributes the contents of the platform's store to a fleet with few calls to the store: one process reads the store,
+ * the others follow it in a tree, and each forwards what it receives to a few followers. There is no leader election
+ * and no consensus: a process that finds no upstream in time reads the store itself, so correctness does not depend on
+ * the tree; the tree only saves calls. This library does no I/O, starts no threads and reads no clock.
  */
 
 #include <base/base.h>
@@ -28,82 +29,94 @@
 
 namespace chivelock {
 
-/** One item of the store as it was written, or the word that it is gone. */
+/** One item of the store as it was written, or its deletion. */
 struct store_item {
     std::string key;
-    std::uint64_t revision = 0; ///< of the store; rises with every change of any key
+    std::uint64_t revision = 0; ///< store revision; increases with every change of any key
     bool deleted = false;
     std::string value; ///< empty if deleted
-    std::uint64_t created = 0; ///< revision at which the key came to be; 0 where that is not told, as between processes
+    std::uint64_t created = 0; ///< revision at which the key was created; 0 if unknown, as in messages of the fleet
 };
 
-/** What is known of one prefix of the store. Takes news in any order and from several sources; never goes back. */
+/**
+ * Local copy of one prefix of the store. Accepts changes in any order and from several sources, and never replaces an
+ * item by an older revision.
+ */
 class store_view
 {
 public:
-    /** @param mayHaveLapsed deletions may be the store's trouble alone. @return the items that are news here, oldest
-     *  first. */
+    /**
+     * @param mayHaveExpired the store was unavailable, so a deletion may only mean that an entry's lease expired.
+     * @return the items that are newer than the local copy, oldest first.
+     */
     std::vector<store_item>
-    applyChanges(std::vector<store_item> items, std::uint64_t revision, bool mayHaveLapsed = false);
+    applyChanges(std::vector<store_item> items, std::uint64_t revision, bool mayHaveExpired = false);
 
-    /** @param items all that the prefix held at @p revision. @return as @ref applyChanges; keys that are missing
-     *  count as deleted. */
+    /**
+     * @param items the complete contents of the prefix at @p revision; keys that are missing count as deleted.
+     * @return as @ref applyChanges.
+     */
     std::vector<store_item>
-    applyContents(std::vector<store_item> items, std::uint64_t revision, bool mayHaveLapsed = false);
+    applyContents(std::vector<store_item> items, std::uint64_t revision, bool mayHaveExpired = false);
 
-    /** Whether the contents were known at some time. */
+    /** Whether the complete contents have been received at least once. */
     [[nodiscard]] bool known() const
     {
         return m_known;
     }
 
-    /** Everything up to this revision is in. */
+    /** All changes up to this revision have been applied. */
     [[nodiscard]] std::uint64_t revision() const
     {
         return m_revision;
     }
 
-    /** Deletions that were told elsewhere. @return as @ref applyChanges; what was written after one follows it anew. */
-    std::vector<store_item> applyPastDeletions(std::span<const store_item> items);
+    /**
+     * Applies deletions that another process recorded. @return the deletions that are new here; if the key was written
+     * after the deletion, the current item is returned again after it.
+     */
+    std::vector<store_item> applyRecentDeletions(std::span<const store_item> items);
 
     struct held {
         std::uint64_t revision = 0;
         std::string value;
     };
 
-    /** @return what is held under the key, until the next change; nullptr for nothing. */
+    /** @return the item under the key, valid until the next change; nullptr if there is none. */
     [[nodiscard]] const held *find(std::string_view key) const;
 
-    /** @return what a holder of @p revision lacks, or nothing if deletions that old are forgotten. */
+    /** @return the changes after @p revision, or nullopt if deletions since then are no longer remembered. */
     [[nodiscard]] std::optional<std::vector<store_item>> changesSince(std::uint64_t revision) const;
 
     [[nodiscard]] std::vector<store_item> contents() const;
 
-    /** @return the contents and the latest deletions: what is written after one may be a late write of what is gone,
-     * and whoever begins to listen then must know. */
+    /**
+     * @return the contents and the latest deletions. A write that follows a deletion may be a late write of the removed
+     * entry; a new follower can only recognise it as such if it knows of the deletion.
+     */
     [[nodiscard]] std::vector<store_item> contentsWithDeletions() const;
 
 private:
-    void addMissedDeletions(std::vector<store_item> &items) const;
-    [[nodiscard]] bool isNews(const store_item &item) const;
-    void keep(const store_item &item, bool mayHaveLapsed);
-    void forgetOldDeletions();
+    void addInferredDeletions(std::vector<store_item> &items) const;
+    [[nodiscard]] bool isNewer(const store_item &item) const;
+    void applyItem(const store_item &item, bool mayHaveExpired);
+    void dropOldDeletions();
 
     struct deletion {
         std::uint64_t revision = 0;
-        bool mayHaveLapsed = false; ///< what is written after it is a return
+        bool mayHaveExpired = false; ///< a later write restores the entry and is no late write
     };
 
     bool m_known = false;
     std::uint64_t m_revision = 0;
     std::map<std::string, held, std::less<>> m_items;
-    std::map<std::string, deletion, std::less<>> m_deleted; ///< the last one; some keys are written anew
-    std::uint64_t m_deletionsSince = 0; ///< deletions after this revision are all in @ref m_deleted
+    std::map<std::string, deletion, std::less<>> m_deleted; ///< last deletion of each key; the key may exist again
+    std::uint64_t m_deletionsSince = 0; ///< @ref m_deleted holds all deletions after this revision
 };
 
 // ---- messages
 
-/** What a process knows of one prefix. */
+/** Revision up to which a process knows one prefix. */
 struct known_revision {
     std::string prefix;
     std::uint64_t revision = 0;
@@ -116,17 +129,17 @@
     auto operator<=>(const fleet_member &) const = default;
 };
 
-/** To a process further up: pass on to me what you hear. */
+/** Sent to a prospective upstream: asks it to accept the sender as a follower and to forward store changes to it. */
 struct follow_request {
-    std::string address; ///< at which the sender takes followers itself
+    std::string address; ///< at which the sender accepts followers
     zone_name zone; ///< of the sender
-    bool readsStore = false; ///< the sender reads the store without trouble: whoever does not may follow it instead
-    std::uint32_t subtree = 1; ///< processes that hear through the sender, itself among them
+    bool readsStore = false; ///< the sender reads the store successfully; a receiver without the store may follow it
+    std::uint32_t subtree = 1; ///< number of processes in the sender's subtree, itself included
     std::vector<known_revision> known;
-    std::vector<fleet_member> members; ///< the subtree
+    std::vector<fleet_member> members; ///< of the subtree
 };
 
-/** How a list of processes differs from the one told before on the same link. */
+/** Difference between a list of processes and the one that was sent before on the same link. */
 struct member_changes {
     std::vector<fleet_member> joined;
     std::vector<fleet_member> left;
@@ -138,61 +151,63 @@
 };
 
 /** @pre both lists are sorted. */
-[[nodiscard]] member_changes differenceOf(std::span<const fleet_member> before, std::span<const fleet_member> after);
+[[nodiscard]] member_changes memberChangesBetween(std::span<const fleet_member> before,
+                                                  std::span<const fleet_member> after);
 
 /** @param before sorted. @return the list after the changes, sorted. */
-[[nodiscard]] std::vector<fleet_member> applied(std::span<const fleet_member> before, const member_changes &changes);
+[[nodiscard]] std::vector<fleet_member> applyMemberChanges(std::span<const fleet_member> before,
+                                                           const member_changes &changes);
 
-/** Upwards: still here. */
+/** Heartbeat that a follower sends to its upstream. */
 struct follow_beat {
     std::uint32_t subtree = 1;
     member_changes changes; ///< of the subtree
 };
 
-/** Downwards: still here, and how I know what I pass on. */
+/** Heartbeat that an upstream sends to its followers, with the state of the store reader and of the path to it. */
 struct upstream_state {
     bool accepted = false; ///< the receiver is a follower of the sender
-    bool storeOk = false; ///< the process at the top reads the store without trouble
-    bool starting = false; ///< the process at the top has asked the store and waits for its first answer
+    bool storeOk = false; ///< the root of the tree reads the store successfully
+    bool starting = false; ///< the root has asked the store and waits for its first answer
     std::uint32_t fleetSize = 1;
-    std::vector<std::string> path; ///< addresses from the top down to the sender
-    std::vector<std::string> elsewhere; ///< whom to ask instead, if not accepted
-    std::vector<fleet_member> members; ///< of the fleet, all of them; empty if not all are told
+    std::vector<std::string> path; ///< addresses from the root down to the sender
+    std::vector<std::string> referrals; ///< addresses to ask instead, if not accepted
+    std::vector<fleet_member> members; ///< of the whole fleet; empty if the message carries only changes
     member_changes changes; ///< of the fleet
-    std::optional<millis> currentAsOf; ///< see @ref fleet_node::currentAsOf; on the wire an age, decoded as that long
-                                       ///< before zero
+    std::optional<millis> currentAsOf; ///< see @ref fleet_node::currentAsOf; encoded as an age, decoded negative
 };
 
-/** One item as the difference to what the receiver holds. */
+/** One item as a delta to the value that the receiver holds. */
 struct item_patch {
     std::string key;
     std::uint64_t revision = 0;
-    std::uint64_t baseRevision = 0; ///< of the value that it was made from
-    std::uint64_t digest = 0; ///< of the whole new value
-    std::uint32_t size = 0; ///< of the whole new value
+    std::uint64_t baseRevision = 0; ///< revision of the value that the delta applies to
+    std::uint64_t digest = 0; ///< of the complete new value
+    std::uint32_t size = 0; ///< of the complete new value
     std::string bytes;
 };
 
-/** Downwards: news of one prefix. */
+/** Sent to followers: changes or complete contents of one prefix. */
 struct store_items {
     std::string prefix;
-    bool whole = false; ///< all that the prefix holds, not only what changed
+    bool whole = false; ///< complete contents of the prefix, not only changes
     std::uint64_t revision = 0;
     std::vector<store_item> items;
     std::vector<item_patch> patches;
 };
 
-/** Up and down: what VMs found out about leafs. */
+/** Sent in both directions: reports of VMs about leafs. */
 struct leaf_news {
-    std::vector<leaf_report> reports; ///< with ages on the wire; decoded as observed that long before zero
+    std::vector<leaf_report> reports; ///< times are sent as ages and decoded as negative ages
 };
 
-/** Up and down, at once: what VMs found out about requests that end leafs. */
+/** Sent in both directions without delay: evidence of VMs about requests that crash leafs (queries of death). */
 struct request_news {
-    std::vector<request_evidence> requests; ///< with ages on the wire; decoded as seen that long before zero
+    std::vector<request_evidence> requests; ///< times are sent as ages and decoded as negative ages
 };
 
-/** Up and down: what was deleted of late, to whoever joins. The store does not say it to one that begins to read. */
+/** Recent deletions, sent by both ends of a new link. The store does not report them to a process that starts reading.
+ */
 struct past_deletions {
     std::string prefix;
     std::vector<store_item> items;
@@ -203,41 +218,41 @@
 
 /** Why bytes are not a message of the fleet. */
 enum class fleet_wire_error : std::uint8_t {
-    Malformed, ///< the FlatBuffers verifier refused it
-    Unpackable, ///< compressed bytes that are not what their sender said
+    Malformed, ///< rejected by the FlatBuffers verifier
+    DecompressionFailed, ///< compressed bytes that do not decompress to the declared size
     UnknownMessage
 };
 
-/** @return a whole frame: length in four bytes, little-endian, then the message. */
+/** @return a complete frame: a four-byte little-endian length, then the message. */
 [[nodiscard]] std::string encodeFleetFrame(const fleet_message &message);
 
-/** @param payload one frame without its length. */
+/** @param payload one frame without its length prefix. */
 [[nodiscard]] tl::expected<fleet_message, fleet_wire_error> decodeFleetPayload(std::span<const std::uint8_t> payload);
 
 // ---- the tree
 
-/** Names one connection to another process of the fleet, as long as it lasts. */
+/** Identifies one connection to another process of the fleet for as long as it is open. */
 using link_id = std::uint64_t;
 
 struct fleet_settings {
-    std::string address; ///< of this process, as others know it
+    std::string address; ///< of this process, at which the others reach it
     zone_name zone;
-    std::vector<std::string> seeds; ///< processes to ask first, the same list for all; may be stale
-    std::vector<std::string> prefixes; ///< of the store that are followed
-    std::size_t fanOut = 8; ///< followers in the own zone: passing a configuration on to more fills a small VM's link
-    millis beat {400}; ///< between signs of life
-    millis silence {1100}; ///< without one, the process above counts as lost: two beats and some delay
-    millis drawInterval {60}; ///< between two draws for who reads the store; some round trips, so that whoever has just
-                              ///< begun can be found before the next
-    millis patience {450}; ///< with a process above whose store is lost, before the draws begin
-    millis seedPatience {240}; ///< the same of a seed: the others look to the seeds
-    std::size_t mostMembers = 4096; ///< that are told of: a fleet of some thousands, some hundred kilobytes of memory
-    millis mergeInterval {3000}; ///< between a reader's looks for another reader to follow
-    millis reportInterval {200}; ///< between messages with reports: each is a packet, however little it says
-    std::size_t mostReports = 20; ///< in one message: 1.2 kB a second on each link of the tree on the worst day
+    std::vector<std::string> seeds; ///< processes to ask first, the same list in all processes; may be stale
+    std::vector<std::string> prefixes; ///< of the store that this process keeps a copy of
+    std::size_t fanOut = 8; ///< followers in the own zone; sending a configuration to more saturates a small VM's link
+    millis heartbeatInterval {400}; ///< between two heartbeats on a link
+    millis upstreamTimeout {1100}; ///< without a message the upstream counts as lost: two heartbeats and some delay
+    millis drawInterval {60}; ///< between two random draws on whether to read the store; some round trips, so that a
+                              ///< process that has just started reading is found before the next draw
+    millis patience {450}; ///< after the root has lost the store, before this process starts to draw
+    millis seedPatience {240}; ///< the same for a seed; the other processes look for a reader at the seeds
+    std::size_t maxMembers = 4096; ///< in member lists: a fleet of some thousands, some hundred kilobytes of memory
+    millis readerSearchInterval {3000}; ///< between a reader's searches for another reader to follow
+    millis reportInterval {200}; ///< between messages with reports; each costs a packet, whatever its size
+    std::size_t maxReportsPerMessage = 20; ///< in the worst case 1.2 kB per second on each link of the tree
 };
 
-/** Connect to a process. */
+/** Open a connection to a process. */
 struct dial_action {
     link_id link = 0;
     std::string address;
@@ -254,43 +269,43 @@
     fleet_message message;
 };
 
-/** Begin or end reading the store. */
+/** Start or stop reading the store. */
 struct read_action {
     bool reading = false;
 };
 
-/** The store's news for this process's own use. */
+/** Store changes for use by this process. */
 struct news_action {
     std::string prefix;
     std::vector<store_item> items;
 };
 
-/** The processes of the fleet, this one among them; at most @ref fleet_settings::mostMembers. */
+/** The processes of the fleet, this one included; at most @ref fleet_settings::maxMembers. */
 struct members_action {
     std::vector<fleet_member> members;
 };
 
-/** What other processes found out about leafs. */
+/** Reports about leafs that other processes sent. */
 struct reports_action {
     std::vector<leaf_report> reports;
 };
 
-/** What other processes found out about requests; what of it is news here goes to @ref fleet_node::tellRequests. */
+/** Evidence about requests that another process sent; what is new here goes to @ref fleet_node::tellRequests. */
 struct requests_action {
     link_id from = 0;
     std::vector<request_evidence> requests;
 };
 
-/** A process has come to the link: tell it all that is known of requests. */
+/** A process has joined at the link: pass all evidence about requests to @ref fleet_node::greet. */
 struct greet_action {
     link_id link = 0;
 };
 
-/** A change of what this process believes of the tree; for the log. */
+/** Log event: this process changed its place in the tree or its upstream, or rejected a delta. */
 struct tree_note_action {
     std::string_view event;
     std::string about;
-    millis input; ///< silence, or time spent
+    millis input; ///< time since the last message of the upstream; zero for events without one
 };
 
 using fleet_action = std::variant<dial_action,
@@ -304,7 +319,7 @@
                                   greet_action,
                                   tree_note_action>;
 
-/** This process's place in the tree. */
+/** State machine of this process's place in the tree. */
 class fleet_node
 {
 public:
@@ -312,81 +327,88 @@
 
     void start(millis now);
 
-    /** A connection that was dialled is open. */
+    /** A connection that this process dialled is open. */
     void onLinkOpen(link_id link, millis now);
 
-    /** A connection is gone, or could not be made. */
+    /** A connection was closed or could not be opened. */
     void onLinkClosed(link_id link, millis now);
 
-    /** @param link a dialled one, or any new number for a connection that another process opened. */
+    /** @param link a dialled link, or any unused number for a connection that another process opened. */
     void onMessage(link_id link, fleet_message message, millis now);
 
     void onStoreContents(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision);
     void onStoreChanges(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision);
 
-    /** Whether this process's own reading of the prefix goes on without trouble. */
+    /** @param ok this process reads the prefix from the store successfully. */
     void onStoreState(std::string_view prefix, bool ok, millis now);
 
-    /** All that the store accepted up to then, of what is vouched for, was told by this process's own reading. */
+    /** This process's store reader has delivered all changes that the store accepted up to @p asOf. */
     void onStoreCurrent(millis asOf, millis now);
 
-    /** Tells the fleet what this process found out about leafs, with the next tick. */
+    /** Queues reports about leafs by this process; they are sent to the fleet with the next tick. */
     void report(std::span<const leaf_report> reports);
 
-    /** Tells what was found out about requests, at once. @param except the link from which it came; 0 for none. */
+    /** Sends evidence about requests to the fleet without delay. @param except link that it came from; 0 for none. */
     void tellRequests(std::span<const request_evidence> requests, link_id except, millis now);
 
-    /** Tells one process all that is known of requests. */
+    /** Sends all evidence about requests to one process. */
     void greet(link_id link, std::span<const request_evidence> requests, millis now);
 
     /**
-     * This process stops, and serves its callers until it ends. Nobody follows it any more, and nobody is told of it as
-     * one that takes work; it goes on hearing the fleet and telling it what it finds out. Without that a request that
-     * ends leafs, met here first, was known to nobody else: the next VM sent it to all shards once more.
+     * Prepares the shutdown of this process, which still serves its callers until it exits. Followers are dropped, and
+     * the member lists omit this process, so that no work is delegated to it. It keeps receiving from the fleet and
+     * sending its findings: otherwise no other VM would know of a query of death that arrived here first, and the next
+     * VM would send it to all shards again.
      */
     void leave(millis now);
 
-    /** Does what is due; call it some times a second. */
+    /** Performs all actions that are due; call it several times per second. */
     void tick(millis now);
 
     [[nodiscard]] std::vector<fleet_action> takeActions();
 
-    /** Processes of the fleet, rather too many than too few: limits are divided by it. */
+    /** Estimated number of processes, too high rather than too low because limits are divided by it. */
     [[nodiscard]] std::size_t fleetSize(millis now) const;
 
     [[nodiscard]] const store_view &view(std::string_view prefix) const;
 
     /**
-     * All that the store accepted up to this moment is known here, whatever stands still or is silent on the way: it is
-     * the moment for which the reader vouches, handed down, never that of its arrival.
+     * Time up to which this process knows all changes that the store accepted. It is the time for which the store
+     * reader confirms freshness, passed down the tree, and not the time of arrival; so process pauses and unresponsive
+     * links on the way never make it too recent.
      */
     [[nodiscard]] millis currentAsOf() const
     {
-        return m_asOf;
+        return m_currentAsOf;
     }
 
-    /** The store does not answer whoever is at the top of the tree. A process that hears nobody may be cut off itself,
-     * and for it nothing lapses; but what it has known it believes until the store has answered again. */
+    /**
+     * Whether the store is unavailable to the root of the tree. A process without recent peers does not conclude this,
+     * since it may be cut off itself, and does not assume that missing entries have expired. Once unavailable, the
+     * store stays so until it has answered again.
+     */
     [[nodiscard]] bool storeInTrouble() const
     {
-        return m_inTrouble;
+        return m_storeUnavailable;
     }
 
-    /** Whether the process at the top of the tree reads the store without trouble, as far as is known here. */
+    /** Whether the root of the tree reads the store successfully, as far as this process knows. */
     [[nodiscard]] bool storeOk() const
     {
         if (m_phase == phase::Seeking) {
-            return true; // not known; whoever is found will tell
+            return true; // unknown until an upstream is found
         }
         return m_phase == phase::Following ? m_upstreamState.storeOk || m_upstreamState.starting
                                            : ownStoreOk() || m_starting;
     }
 
-    /** Whether another process was heard of late: without one, a store that is silent may only be out of reach of here.
+    /**
+     * Whether another process sent a message recently. If none did, an unresponsive store may only be unreachable from
+     * this process.
      */
     [[nodiscard]] bool hearsPeers(millis now) const;
 
-    /** @return the process that this one follows, or followed last; empty before the first. */
+    /** @return the current or last upstream; empty before the first. */
     [[nodiscard]] const std::string &upstreamAddress() const
     {
         return m_upstreamAddress;
@@ -399,161 +421,161 @@
 
 private:
     enum class phase : std::uint8_t {
-        Seeking, ///< for a process to follow
+        Seeking, ///< looking for an upstream
         Following,
-        Reading ///< the store, for itself and all below
+        Reading ///< reads the store for itself and its subtree
     };
 
     using member_list = std::shared_ptr<const std::vector<fleet_member>>;
 
-    struct candidate {
+    struct upstream_candidate {
         std::string address;
-        member_list told; ///< this process's subtree, as the request said
+        member_list sentMembers; ///< this process's subtree as sent in the request
     };
 
     struct follower {
         std::string address;
         zone_name zone;
         std::uint32_t subtree = 1;
-        millis heardAt;
+        millis receivedAt; ///< last request or heartbeat
         std::vector<fleet_member> members; ///< of its subtree, sorted
-        member_list told; ///< the fleet as it knows it
+        member_list sentMembers; ///< the fleet as last sent to it
 
-        /** It stops and takes no followers: whoever is below it names itself but for that. */
+        /** Whether it is shutting down and accepts no followers: a leaving process omits itself from its subtree. */
         [[nodiscard]] bool isLeaving() const
         {
             return std::ranges::find(members, address, &fleet_member::address) == members.end();
         }
     };
 
-    /** One that asked while this process had nothing to say yet. */
+    /** A process that asked to follow while this process was still seeking an upstream itself. */
     struct waiting_follower {
         link_id link = 0;
         follow_request request;
     };
 
-    struct kept_report {
+    struct queued_report {
         leaf_report report;
-        link_id from = 0; ///< 0 for this process's own
+        link_id from = 0; ///< 0 for reports by this process
     };
 
-    void seek(millis now);
-    void dialNext();
-    void lookAgain(millis now);
-    void lookForReader(millis now);
+    void startSearch(millis now);
+    void dialNextSeed();
+    void restartSeedSearch(millis now);
+    void searchForReader(millis now);
     void dial(const std::string &address);
     void dropCandidates(link_id except);
     void becomeReader(std::string_view why, millis now);
-    void adopt(link_id link, const upstream_state &state, millis now);
-    void loseUpstream(std::string_view why, millis now);
-    void judgeUpstream(millis now);
+    void followCandidate(link_id link, const upstream_state &state, millis now);
+    void dropUpstream(std::string_view why, millis now);
+    void checkUpstream(millis now);
     void drawToRead(millis now);
-    void drawBesideUpstream(millis now);
+    void drawToReplaceReader(millis now);
     [[nodiscard]] bool isSeed() const;
-    [[nodiscard]] std::vector<std::string> candidates() const;
+    [[nodiscard]] std::vector<std::string> followableSeeds() const;
     void onState(link_id link, const upstream_state &state, millis now);
     void onUpstreamState(const upstream_state &state, millis now);
     void onCandidateState(link_id link, const upstream_state &state, millis now);
 
     void onFollow(link_id link, follow_request request, millis now);
     void refuse(link_id link, const follow_request &request);
-    void answerWaiting(millis now);
-    void noticeReader(const follow_request &request);
+    void processWaitingRequests(millis now);
+    void dialReaderIfNeeded(const follow_request &request);
     [[nodiscard]] bool mayFollow(const follow_request &request, millis now) const;
     [[nodiscard]] std::vector<std::string> referralsFor(const follow_request &request) const;
-    void onBeat(link_id link, const follow_beat &sign, millis now);
-    void tellFollowers(millis now);
-    void noteTick(millis now);
-    void judgeStore(millis now);
-    [[nodiscard]] bool mayLapse() const;
-    void hearCurrent(const upstream_state &state, millis now);
-    void noteCurrent(millis asOf, millis now);
-    void dropSilentFollowers(millis now);
-    void beat(millis now);
+    void onHeartbeat(link_id link, const follow_beat &heartbeat, millis now);
+    void sendStateToFollowers(millis now);
+    void recordTick(millis now);
+    void updateStoreAvailability(millis now);
+    [[nodiscard]] bool mayHaveExpiredEntries() const;
+    void onUpstreamFreshness(const upstream_state &state, millis now);
+    void advanceFreshness(millis asOf, millis now);
+    void dropUnresponsiveFollowers(millis now);
+    void sendHeartbeat(millis now);
 
     void onItems(link_id link, store_items items, millis now);
-    [[nodiscard]] bool unpack(store_items &items);
-    void askForWhole(const std::string &prefix, std::string_view key);
-    void sendMissing(link_id link, const follow_request &request);
-    void passOn(store_items items, std::vector<store_item> news);
-    [[nodiscard]] std::vector<item_patch> takePatches(std::string_view prefix, std::vector<store_item> &items) const;
-
-    void onPastDeletions(link_id link, const past_deletions &told);
-    void tellPastDeletions(link_id link);
-    void keepDeletions(const std::string &prefix, std::span<const store_item> news);
-    void forgetLateDeletions();
-    void onLeafNews(link_id link, leaf_news news, millis now);
-    void onRequestNews(link_id link, request_news news, millis now);
+    [[nodiscard]] bool applyPatches(store_items &items);
+    void requestFullContents(const std::string &prefix, std::string_view key);
+    void sendMissingItems(link_id link, const follow_request &request);
+    void forwardItems(store_items items, std::vector<store_item> newItems);
+    [[nodiscard]] std::vector<item_patch> extractPatches(std::string_view prefix, std::vector<store_item> &items) const;
+
+    void onRecentDeletions(link_id link, const past_deletions &message);
+    void sendRecentDeletions(link_id link);
+    void recordDeletions(const std::string &prefix, std::span<const store_item> newItems);
+    void dropExpiredDeletions();
+    void onLeafReports(link_id link, leaf_news message, millis now);
+    void onRequestEvidence(link_id link, request_news message, millis now);
     [[nodiscard]] bool isNeighbour(link_id link) const;
-    void keepReport(const leaf_report &report, link_id from);
-    void tellReports(millis now);
+    void queueReport(const leaf_report &report, link_id from);
+    void sendReports(millis now);
     [[nodiscard]] std::vector<link_id> neighbours() const;
 
     [[nodiscard]] std::vector<fleet_member> subtreeMembers() const;
     void refreshMembers();
     void setMembers(std::vector<fleet_member> members);
-    void hearMembers(const upstream_state &state);
+    void updateMembers(const upstream_state &state);
 
     [[nodiscard]] follow_request ownRequest() const;
     [[nodiscard]] upstream_state ownState(bool accepted) const;
-    [[nodiscard]] bool mayVouch() const;
+    [[nodiscard]] bool canConfirmFreshness() const;
     [[nodiscard]] bool ownStoreOk() const;
     [[nodiscard]] std::uint32_t subtree() const;
     [[nodiscard]] bool hasData() const;
-    void tell(link_id link, fleet_message message);
-    void noteSize(std::uint32_t size, millis now);
-    void note(std::string_view event, std::string about, millis input);
+    void sendMessage(link_id link, fleet_message message);
+    void recordFleetSize(std::uint32_t size, millis now);
+    void addLogEvent(std::string_view event, std::string about, millis input);
 
     fleet_settings m_settings;
     seeded_random m_random;
     std::map<std::string, store_view, std::less<>> m_views;
-    std::map<std::string, bool, std::less<>> m_readOk; ///< by prefix, while reading
+    std::map<std::string, bool, std::less<>> m_prefixReadOk; ///< by prefix; the store reader works
     phase m_phase = phase::Seeking;
     bool m_leaving = false;
-    bool m_starting = false; ///< reads, and the store has not answered or failed yet
+    bool m_starting = false; ///< reading, and no read has succeeded or failed yet
     millis m_nextDraw;
-    unsigned m_draws = 0; ///< since the search began
+    unsigned m_drawCount = 0; ///< since the search started
     millis m_redialAt;
-    millis m_promisedUntil; ///< a process that is starting will say more by then
-    std::size_t m_nextSeed = 0; ///< of those that may be followed, to be dialled
-    std::size_t m_seedsDialled = 0; ///< since the last look
-    std::string m_lastTop; ///< process at the top when its store was lost
-    millis m_nextBeat;
+    millis m_stateExpectedUntil; ///< a starting process has asked to wait for its next state until then
+    std::size_t m_nextSeed = 0; ///< index of the next followable seed to dial
+    std::size_t m_seedsDialled = 0; ///< since the seed search was last restarted
+    std::string m_previousReader; ///< root of the tree when it lost the store
+    millis m_nextHeartbeat;
     millis m_tickAt;
-    millis m_quietAt; ///< the tick before the last: what is handled now arrived later than that
-    bool m_inTrouble = false; ///< see @ref storeInTrouble
-    millis m_lostSince = millis::never(); ///< nobody above reads the store
-    millis m_troubleAt = millis() - millis::never(); ///< its last sign
-    millis m_asOf = millis() - millis::never();
-    millis m_toldAsOf; ///< as the followers know it
-    millis m_toldAt; ///< when they last heard
-    millis m_nextMerge;
-    std::map<link_id, candidate> m_candidates;
-    std::size_t m_referrals = 0; ///< followed in this search
+    millis m_previousTickAt; ///< the tick before the last; a message handled now arrived after it
+    bool m_storeUnavailable = false; ///< see @ref storeInTrouble
+    millis m_storeLostSince = millis::never(); ///< no process upstream, nor this one, reads the store
+    millis m_storeUnavailableAt = millis() - millis::never(); ///< when the store was last seen unavailable
+    millis m_currentAsOf = millis() - millis::never();
+    millis m_sentAsOf; ///< last value sent to the followers
+    millis m_stateSentAt; ///< when the state was last sent to the followers
+    millis m_nextReaderSearch;
+    std::map<link_id, upstream_candidate> m_candidates;
+    std::size_t m_referralCount = 0; ///< referrals dialled in this search
     link_id m_upstream = 0;
     std::string m_upstreamAddress;
-    millis m_upstreamHeardAt;
+    millis m_upstreamReceivedAt; ///< last message
     upstream_state m_upstreamState;
-    millis m_upstreamBadSince = millis::never();
-    struct late_deletion {
+    millis m_upstreamStoreLostSince = millis::never();
+    struct recorded_deletion {
         std::string prefix;
         store_item item;
-        millis heardAt;
+        millis receivedAt;
     };
-    std::deque<late_deletion> m_lateDeletions; ///< for whoever joins
-    std::set<std::string> m_wholeAsked; ///< prefixes of which all was asked for and has not come yet
+    std::deque<recorded_deletion> m_recentDeletions; ///< sent on new links
+    std::set<std::string> m_fullContentsPending; ///< prefixes whose full contents were requested and have not arrived
     std::map<link_id, follower> m_followers;
     std::vector<waiting_follower> m_waiting;
-    bool m_subtreeChanged = false; ///< since the process above was told
-    millis m_nextMembers; ///< when the whole fleet may be told of changes again
+    bool m_subtreeChanged = false; ///< since the upstream was last informed
+    millis m_nextMemberUpdate; ///< when member changes may next be sent to the whole fleet
     millis m_nextReports;
-    std::map<leaf_digest, kept_report> m_reports; ///< to be passed on, by leaf
+    std::map<leaf_digest, queued_report> m_queuedReports; ///< to be forwarded, by leaf
     member_list m_members; ///< of the fleet, sorted
-    member_list m_toldUpstream; ///< subtree as the process above knows it
-    std::uint32_t m_size = 1;
-    std::uint32_t m_rememberedSize = 1; ///< the greatest of late
-    millis m_rememberedUntil;
-    millis m_guessUntil; ///< nothing is known yet
+    member_list m_membersSentUpstream; ///< subtree as last sent to the upstream
+    std::uint32_t m_fleetSize = 1;
+    std::uint32_t m_recentLargestSize = 1; ///< largest fleet size seen recently
+    millis m_recentLargestSizeUntil;
+    millis m_sizeEstimateUntil; ///< until then the initial estimate is a lower bound
     link_id m_nextLink = 1;
     std::vector<fleet_action> m_actions;
 };
--- a/libs/fleet/src/packing.cpp
+++ b/libs/fleet/src/compression.cpp
@@ -1,4 +1,4 @@
-#include "packing.h"
+#include "compression.h"
 
 #include <base/base.h>
 
@@ -11,10 +11,10 @@
 
 namespace {
 
-// The fastest but one or two: a configuration takes a fifth of a millisecond of a core, and gets a tenth of its size.
+// Among the fastest levels: a configuration takes 0.2 ms of CPU time and shrinks to a tenth of its size.
 constexpr int compressionLevel = 3;
 
-struct free_context {
+struct context_deleter {
     void operator()(ZSTD_CCtx *context) const
     {
         ZSTD_freeCCtx(context);
@@ -28,9 +28,9 @@
 
 } // namespace
 
-std::string packed(std::string_view text, std::string_view base)
+std::string compressText(std::string_view text, std::string_view base)
 {
-    const std::unique_ptr<ZSTD_CCtx, free_context> context(ZSTD_createCCtx());
+    const std::unique_ptr<ZSTD_CCtx, context_deleter> context(ZSTD_createCCtx());
     std::string bytes(ZSTD_compressBound(text.size()), '\0');
     const std::size_t size = ZSTD_compress_usingDict(context.get(),
                                                      bytes.data(),
@@ -40,14 +40,14 @@
                                                      base.data(),
                                                      base.size(),
                                                      compressionLevel);
-    require(ZSTD_isError(size) == 0, "there is room for any text");
+    require(ZSTD_isError(size) == 0, "a buffer of ZSTD_compressBound bytes holds any compressed text");
     bytes.resize(size);
     return bytes;
 }
 
-std::optional<std::string> unpacked(std::string_view bytes, std::string_view base, std::size_t size)
+std::optional<std::string> decompressText(std::string_view bytes, std::string_view base, std::size_t size)
 {
-    const std::unique_ptr<ZSTD_DCtx, free_context> context(ZSTD_createDCtx());
+    const std::unique_ptr<ZSTD_DCtx, context_deleter> context(ZSTD_createDCtx());
     std::string text(size, '\0');
     const std::size_t made = ZSTD_decompress_usingDict(
         context.get(), text.data(), text.size(), bytes.data(), bytes.size(), base.data(), base.size());
--- a/libs/fleet/src/fleet_codec.cpp
+++ b/libs/fleet/src/fleet_codec.cpp
@@ -1,6 +1,6 @@
 #include <fleet/fleet.h>
 
-#include "packing.h"
+#include "compression.h"
 
 #include <fleet_generated.h>
 #include <wire/wire.h>
@@ -27,25 +27,25 @@
     return builder.CreateVector(offsets);
 }
 
-// Smaller ones gain less than the packing costs: a sign of life has 200 bytes.
-constexpr std::size_t leastPackedBytes = 512;
+// Compressing smaller messages costs more than it saves; a heartbeat has 200 bytes.
+constexpr std::size_t minCompressedMessageBytes = 512;
 
 constexpr double hundredths = 100;
 
-std::uint16_t shortened(double value)
+std::uint16_t saturatedUint16(double value)
 {
     constexpr double most = std::numeric_limits<std::uint16_t>::max();
     return static_cast<std::uint16_t>(std::clamp(value, 0.0, most));
 }
 
-constexpr millis longestAge(4.0e9); // some weeks: as many milliseconds as the wire takes
+constexpr millis maxWireAge(4.0e9); // some weeks; just below the largest number of milliseconds in the wire format
 
-constexpr std::uint32_t noAge = std::numeric_limits<std::uint32_t>::max(); // as in fleet.fbs
+constexpr std::uint32_t unknownAge = std::numeric_limits<std::uint32_t>::max(); // as in fleet.fbs
 
-/** @param at relative to now. */
+/** @param at time relative to now. */
 std::uint32_t ageOf(millis at)
 {
-    return static_cast<std::uint32_t>(std::clamp(millis() - at, millis(), longestAge).count());
+    return static_cast<std::uint32_t>(std::clamp(millis() - at, millis(), maxWireAge).count());
 }
 
 Offset<flatbuffers::Vector<std::uint8_t>> bytesOf(FlatBufferBuilder &builder, std::string_view bytes)
@@ -53,7 +53,7 @@
     return builder.CreateVector(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
 }
 
-/** Writes one alternative; the union's type follows from it. */
+/** Encodes one alternative of @ref fleet_message as the union member of the same meaning. */
 struct message_writer {
     FlatBufferBuilder &builder;
 
@@ -89,7 +89,7 @@
     Offset<fleet_wire::Envelope> operator()(const upstream_state &message) const
     {
         const auto path = builder.CreateVectorOfStrings(message.path);
-        const auto elsewhere = builder.CreateVectorOfStrings(message.elsewhere);
+        const auto referrals = builder.CreateVectorOfStrings(message.referrals);
         const auto members = membersOf(builder, message.members);
         const auto joined = membersOf(builder, message.changes.joined);
         const auto left = membersOf(builder, message.changes.left);
@@ -99,12 +99,12 @@
                                             message.storeOk,
                                             message.fleetSize,
                                             path,
-                                            elsewhere,
+                                            referrals,
                                             members,
                                             joined,
                                             left,
                                             message.starting,
-                                            message.currentAsOf ? ageOf(*message.currentAsOf) : noAge)
+                                            message.currentAsOf ? ageOf(*message.currentAsOf) : unknownAge)
                         .Union());
     }
 
@@ -130,8 +130,8 @@
         for (const leaf_report &one : message.reports) {
             reports.emplace_back(one.leaf,
                                  one.observer,
-                                 shortened(one.slowness * hundredths),
-                                 shortened((millis() - one.observedAt).count()),
+                                 saturatedUint16(one.slowness * hundredths),
+                                 saturatedUint16((millis() - one.observedAt).count()),
                                  one.unreachable);
         }
         const auto all = builder.CreateVectorOfStructs(reports);
@@ -147,7 +147,7 @@
                 ends.emplace_back(end.attempt, end.leaf, ageOf(end.at), end.alone);
             }
             const auto all = builder.CreateVectorOfStructs(ends);
-            const bool answered = one.answeredAt > millis() - longestAge;
+            const bool answered = one.answeredAt > millis() - maxWireAge;
             const std::uint32_t age = answered ? ageOf(one.answeredAt) : 0;
             requests.push_back(fleet_wire::CreateRequest(
                 builder, one.key.caller, one.key.content, one.route, all, answered, age, one.vouched));
@@ -233,7 +233,7 @@
     return message;
 }
 
-follow_beat readBeat(const fleet_wire::Beat &from)
+follow_beat readHeartbeat(const fleet_wire::Beat &from)
 {
     return {from.subtree(), {readMembers(from.joined()), readMembers(from.left())}};
 }
@@ -313,14 +313,14 @@
             textsOf(from.elsewhere()),
             readMembers(from.members()),
             {readMembers(from.joined()), readMembers(from.left())},
-            from.current_age() == noAge ? std::nullopt : std::optional(millis() - millis(from.current_age()))};
+            from.current_age() == unknownAge ? std::nullopt : std::optional(millis() - millis(from.current_age()))};
 }
 
-/** @return the envelope compressed, or nothing if that is no shorter. */
-std::optional<std::string> packedFrame(std::span<const std::uint8_t> envelope)
+/** @return a frame with the compressed envelope, or nullopt if compression does not make it smaller. */
+std::optional<std::string> compressedFrameOf(std::span<const std::uint8_t> envelope)
 {
     const std::string_view text(reinterpret_cast<const char *>(envelope.data()), envelope.size());
-    const std::string bytes = packed(text, {});
+    const std::string bytes = compressText(text, {});
     if (bytes.size() >= text.size()) {
         return std::nullopt;
     }
@@ -331,17 +331,17 @@
     return frameOf({builder.GetBufferPointer(), builder.GetSize()});
 }
 
-tl::expected<fleet_message, fleet_wire_error> readEnvelope(std::span<const std::uint8_t> bytes, bool mayBePacked);
+tl::expected<fleet_message, fleet_wire_error> readEnvelope(std::span<const std::uint8_t> bytes, bool mayBeCompressed);
 
-tl::expected<fleet_message, fleet_wire_error> readPacked(const fleet_wire::Packed &from)
+tl::expected<fleet_message, fleet_wire_error> readCompressed(const fleet_wire::Packed &from)
 {
     if (from.bytes() == nullptr || from.size() > maxFrameBytes) {
-        return tl::unexpected(fleet_wire_error::Unpackable);
+        return tl::unexpected(fleet_wire_error::DecompressionFailed);
     }
     const std::string_view bytes(reinterpret_cast<const char *>(from.bytes()->data()), from.bytes()->size());
-    const std::optional<std::string> text = unpacked(bytes, {}, from.size());
+    const std::optional<std::string> text = decompressText(bytes, {}, from.size());
     if (!text) {
-        return tl::unexpected(fleet_wire_error::Unpackable);
+        return tl::unexpected(fleet_wire_error::DecompressionFailed);
     }
     return readEnvelope({reinterpret_cast<const std::uint8_t *>(text->data()), text->size()}, false);
 }
@@ -354,13 +354,13 @@
     builder.Finish(std::visit(message_writer {builder}, message));
     const std::span<const std::uint8_t> envelope(builder.GetBufferPointer(), builder.GetSize());
     std::optional<std::string> shorter =
-        envelope.size() >= leastPackedBytes ? packedFrame(envelope) : std::optional<std::string>();
+        envelope.size() >= minCompressedMessageBytes ? compressedFrameOf(envelope) : std::optional<std::string>();
     return shorter ? *std::move(shorter) : frameOf(envelope);
 }
 
 namespace {
 
-tl::expected<fleet_message, fleet_wire_error> readEnvelope(std::span<const std::uint8_t> bytes, bool mayBePacked)
+tl::expected<fleet_message, fleet_wire_error> readEnvelope(std::span<const std::uint8_t> bytes, bool mayBeCompressed)
 {
     const std::vector<std::uint64_t> aligned = alignedCopy(bytes);
     const auto *payload = reinterpret_cast<const std::uint8_t *>(aligned.data());
@@ -373,7 +373,7 @@
     case fleet_wire::Message::Follow:
         return readFollow(*envelope.message_as_Follow());
     case fleet_wire::Message::Beat:
-        return readBeat(*envelope.message_as_Beat());
+        return readHeartbeat(*envelope.message_as_Beat());
     case fleet_wire::Message::State:
         return readState(*envelope.message_as_State());
     case fleet_wire::Message::Items:
@@ -387,7 +387,8 @@
         return past_deletions {textOf(from.prefix()), readItemList(from.items())};
     }
     case fleet_wire::Message::Packed:
-        return mayBePacked ? readPacked(*envelope.message_as_Packed()) : tl::unexpected(fleet_wire_error::Malformed);
+        return mayBeCompressed ? readCompressed(*envelope.message_as_Packed())
+                               : tl::unexpected(fleet_wire_error::Malformed);
     default:
         return tl::unexpected(fleet_wire_error::UnknownMessage);
     }
--- a/libs/fleet/src/fleet_deletions.cpp
+++ b/libs/fleet/src/fleet_deletions.cpp
@@ -1,7 +1,7 @@
 /**
  * @file
- * What was deleted of late, told by both ends of a new link: a write that comes late looks like a new thing to whoever
- * has not heard of the deletion before it, and the store does not tell it to one that begins to read.
+ * Recent deletions, sent by both ends of a new link. To a process that does not know of a deletion, a late write of the
+ * deleted entry looks like a new entry, and the store does not report past deletions to a process that starts reading.
  */
 
 #include <fleet/fleet.h>
@@ -12,65 +12,69 @@
 
 namespace {
 
-constexpr millis lateWriteLife(10000); // the latest write of what is gone, and until its entry lapses
-constexpr std::size_t mostLateDeletions = 256; // some kilobytes
+// Covers the latest write after a deletion and the time until that entry expires.
+constexpr millis deletionRetention(10000);
+constexpr std::size_t maxRecentDeletions = 256; // some kilobytes
 
 } // namespace
 
-/** The lapses of the store's trouble are none: what is written after them is a return. */
-void fleet_node::keepDeletions(const std::string &prefix, std::span<const store_item> news)
+/**
+ * Does not record entries that may have expired because the store was unavailable: a later write restores such an entry
+ * and is no late write.
+ */
+void fleet_node::recordDeletions(const std::string &prefix, std::span<const store_item> newItems)
 {
-    forgetLateDeletions();
-    for (const store_item &item : news) {
-        if (item.deleted && !mayLapse()) {
-            m_lateDeletions.push_back({prefix, item, m_tickAt});
+    dropExpiredDeletions();
+    for (const store_item &item : newItems) {
+        if (item.deleted && !mayHaveExpiredEntries()) {
+            m_recentDeletions.push_back({prefix, item, m_tickAt});
         }
     }
-    while (m_lateDeletions.size() > mostLateDeletions) {
-        m_lateDeletions.pop_front();
+    while (m_recentDeletions.size() > maxRecentDeletions) {
+        m_recentDeletions.pop_front();
     }
 }
 
-void fleet_node::forgetLateDeletions()
+void fleet_node::dropExpiredDeletions()
 {
-    std::erase_if(m_lateDeletions, [&](const auto &one) { return m_tickAt - one.heardAt > lateWriteLife; });
+    std::erase_if(m_recentDeletions, [&](const auto &one) { return m_tickAt - one.receivedAt > deletionRetention; });
 }
 
-void fleet_node::tellPastDeletions(link_id link)
+void fleet_node::sendRecentDeletions(link_id link)
 {
-    forgetLateDeletions();
+    dropExpiredDeletions();
     for (const auto &[prefix, view] : m_views) {
-        past_deletions told {prefix, {}};
-        for (const late_deletion &one : m_lateDeletions) {
+        past_deletions message {prefix, {}};
+        for (const recorded_deletion &one : m_recentDeletions) {
             if (one.prefix == prefix) {
-                told.items.push_back(one.item);
+                message.items.push_back(one.item);
             }
         }
-        if (!told.items.empty()) {
-            tell(link, std::move(told));
+        if (!message.items.empty()) {
+            sendMessage(link, std::move(message));
         }
     }
 }
 
-void fleet_node::onPastDeletions(link_id link, const past_deletions &told)
+void fleet_node::onRecentDeletions(link_id link, const past_deletions &message)
 {
-    const auto view = m_views.find(told.prefix);
+    const auto view = m_views.find(message.prefix);
     if (!isNeighbour(link) || view == m_views.end()) {
         return;
     }
-    std::vector<store_item> news = view->second.applyPastDeletions(told.items);
-    if (news.empty()) {
+    std::vector<store_item> newItems = view->second.applyRecentDeletions(message.items);
+    if (newItems.empty()) {
         return;
     }
-    keepDeletions(told.prefix, news);
-    past_deletions rest {told.prefix, {}};
-    std::ranges::copy_if(news, std::back_inserter(rest.items), &store_item::deleted);
+    recordDeletions(message.prefix, newItems);
+    past_deletions rest {message.prefix, {}};
+    std::ranges::copy_if(newItems, std::back_inserter(rest.items), &store_item::deleted);
     std::vector<link_id> links = neighbours();
     std::erase(links, link);
     if (!links.empty()) {
         m_actions.emplace_back(tell_action {std::move(links), std::move(rest)});
     }
-    m_actions.emplace_back(news_action {told.prefix, std::move(news)});
+    m_actions.emplace_back(news_action {message.prefix, std::move(newItems)});
 }
 
 } // namespace chivelock
--- a/libs/fleet/src/fleet_followers.cpp
+++ b/libs/fleet/src/fleet_followers.cpp
@@ -1,4 +1,4 @@
-/** @file Those who follow this process: whom it takes, where it sends the others, what it tells them. */
+/** @file Followers of this process: which it accepts, where it refers the others, and what it sends to them. */
 
 #include <fleet/fleet.h>
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr double silentFollowerBeats = 6; // after which it is dropped
-constexpr double liveFollowerBeats = 2.5; // after which another one of its zone is taken beside it
-constexpr std::size_t mostWaiting = 1024; // links that ask while nothing can be said: a quarter of a VM's descriptors
+constexpr double followerTimeoutHeartbeats = 6; // without a message from a follower until it is dropped
+constexpr double liveFollowerHeartbeats = 2.5; // without a message until another follower of the same zone is accepted
+// Links whose requests wait while this process seeks an upstream: a quarter of a VM's descriptors.
+constexpr std::size_t maxWaitingFollowers = 1024;
 
 } // namespace
 
@@ -29,46 +30,51 @@
 }
 
 /**
- * The process at the top takes one follower of each other zone, and its own zone's beside them: all that the store says
- * crosses into a zone once. Without that five links in six crossed zones with six zones, and a configuration of 80 kB
- * went between zones 245 times for each change.
+ * The root accepts one follower of each other zone besides those of its own zone, so that each store change enters a
+ * zone once. Without this rule, five of six links crossed zones in a fleet with six zones, and a configuration of 80 kB
+ * was sent between zones 245 times for each change.
  */
 bool fleet_node::mayFollow(const follow_request &request, millis now) const
 {
     if (m_phase == phase::Following && std::ranges::count(m_upstreamState.path, request.address) > 0) {
         return false;
     }
-    const auto ofItsZone = [&](const auto &one) { return one.second.zone == request.zone && !one.second.isLeaving(); };
+    const auto isInRequestZone = [&](const auto &one) {
+        return one.second.zone == request.zone && !one.second.isLeaving();
+    };
     if (request.zone == m_settings.zone) {
-        return static_cast<std::size_t>(std::ranges::count_if(m_followers, ofItsZone)) < m_settings.fanOut;
+        return static_cast<std::size_t>(std::ranges::count_if(m_followers, isInRequestZone)) < m_settings.fanOut;
     }
-    const millis liveSince = now - m_settings.beat * liveFollowerBeats;
+    const millis liveSince = now - m_settings.heartbeatInterval * liveFollowerHeartbeats;
     return m_phase == phase::Reading && std::ranges::none_of(m_followers, [&](const auto &one) {
-               return ofItsZone(one) && one.second.heardAt >= liveSince;
+               return isInRequestZone(one) && one.second.receivedAt >= liveSince;
            });
 }
 
-/** @return whom to ask instead: followers of the same zone, with room if any has, or whoever is at the top. */
+/**
+ * @return addresses to ask instead: followers in the zone of the request, those with free capacity if there are any;
+ * without such followers the root of the tree.
+ */
 std::vector<std::string> fleet_node::referralsFor(const follow_request &request) const
 {
-    std::vector<std::string> withRoom;
+    std::vector<std::string> withCapacity;
     std::vector<std::string> others;
     for (const auto &[link, one] : m_followers) {
         if (one.zone == request.zone && !one.isLeaving()) {
-            (one.subtree <= m_settings.fanOut ? withRoom : others).push_back(one.address);
+            (one.subtree <= m_settings.fanOut ? withCapacity : others).push_back(one.address);
         }
     }
-    if (withRoom.empty() && others.empty() && m_phase == phase::Following && !m_upstreamState.path.empty()) {
+    if (withCapacity.empty() && others.empty() && m_phase == phase::Following && !m_upstreamState.path.empty()) {
         return {m_upstreamState.path.front()};
     }
-    return withRoom.empty() ? others : withRoom;
+    return withCapacity.empty() ? others : withCapacity;
 }
 
 void fleet_node::refuse(link_id link, const follow_request &request)
 {
     upstream_state refusal = ownState(false);
-    refusal.elsewhere = referralsFor(request);
-    tell(link, std::move(refusal));
+    refusal.referrals = referralsFor(request);
+    sendMessage(link, std::move(refusal));
 }
 
 void fleet_node::onFollow(link_id link, follow_request request, millis now)
@@ -78,14 +84,14 @@
         refuse(link, request);
         return;
     }
-    noticeReader(request);
+    dialReaderIfNeeded(request);
     if (m_phase == phase::Seeking) {
         upstream_state wait = ownState(false);
-        wait.starting = m_waiting.size() < mostWaiting;
+        wait.starting = m_waiting.size() < maxWaitingFollowers;
         if (wait.starting) {
             m_waiting.push_back({link, std::move(request)});
         }
-        tell(link, std::move(wait));
+        sendMessage(link, std::move(wait));
         return;
     }
     if (!mayFollow(request, now)) {
@@ -95,88 +101,96 @@
     std::ranges::sort(request.members);
     m_followers[link] = {request.address, request.zone, request.subtree, now, std::move(request.members), m_members};
     m_subtreeChanged = true;
-    upstream_state welcome = ownState(true);
-    welcome.members = *m_members;
-    tell(link, std::move(welcome));
-    m_actions.emplace_back(greet_action {link}); // before the configuration, with which it begins to serve
-    sendMissing(link, request);
-    tellPastDeletions(link);
+    upstream_state acceptance = ownState(true);
+    acceptance.members = *m_members;
+    sendMessage(link, std::move(acceptance));
+    // Before the configuration, since the follower serves callers once it has that.
+    m_actions.emplace_back(greet_action {link});
+    sendMissingItems(link, request);
+    sendRecentDeletions(link);
 }
 
-/** Those who asked while this process itself was looking. */
-void fleet_node::answerWaiting(millis now)
+/** Processes the follow requests that arrived while this process was seeking an upstream. */
+void fleet_node::processWaitingRequests(millis now)
 {
     for (waiting_follower &one : std::exchange(m_waiting, {})) {
         onFollow(one.link, std::move(one.request), now);
     }
 }
 
-/** A process without the store follows one that reads it, whoever that is: those who can't reach the store find it
- *  through the seeds, and whoever is below is told at once. */
-void fleet_node::noticeReader(const follow_request &request)
+/**
+ * Dials the sender of a follow request if it reads the store and this process has no access to it. Processes that
+ * cannot reach the store thereby find a reader through the seeds, and their followers are informed at once.
+ */
+void fleet_node::dialReaderIfNeeded(const follow_request &request)
 {
     if (request.readsStore && !storeOk()) {
         dial(request.address);
     }
 }
 
-void fleet_node::onBeat(link_id link, const follow_beat &sign, millis now)
+void fleet_node::onHeartbeat(link_id link, const follow_beat &heartbeat, millis now)
 {
     const auto found = m_followers.find(link);
     if (found == m_followers.end()) {
         return;
     }
     follower &from = found->second;
-    m_subtreeChanged = m_subtreeChanged || from.subtree != sign.subtree || !sign.changes.empty();
-    from.subtree = sign.subtree;
-    from.heardAt = now;
-    from.members = applied(from.members, sign.changes);
+    m_subtreeChanged = m_subtreeChanged || from.subtree != heartbeat.subtree || !heartbeat.changes.empty();
+    from.subtree = heartbeat.subtree;
+    from.receivedAt = now;
+    from.members = applyMemberChanges(from.members, heartbeat.changes);
 }
 
-void fleet_node::beat(millis now)
+void fleet_node::sendHeartbeat(millis now)
 {
     m_subtreeChanged = false;
     if (m_phase == phase::Following) {
         auto members = std::make_shared<const std::vector<fleet_member>>(subtreeMembers());
-        tell(m_upstream, follow_beat {subtree(), differenceOf(*m_toldUpstream, *members)});
-        m_toldUpstream = std::move(members);
+        sendMessage(m_upstream, follow_beat {subtree(), memberChangesBetween(*m_membersSentUpstream, *members)});
+        m_membersSentUpstream = std::move(members);
     } else if (m_phase == phase::Reading) {
-        noteSize(subtree(), now);
-        if (now >= m_nextMembers) {
-            m_nextMembers = now + m_settings.beat; // each change reaches all of the fleet: not one by one
+        recordFleetSize(subtree(), now);
+        if (now >= m_nextMemberUpdate) {
+            // Each change goes to the whole fleet, so changes are sent in batches.
+            m_nextMemberUpdate = now + m_settings.heartbeatInterval;
             refreshMembers();
         }
     }
-    // Followers are told with what is heard, see noteCurrent; this is for when nothing is.
-    const double quietBeats = m_phase == phase::Following ? 1.5 : 0.75;
-    if (now - m_toldAt >= m_settings.beat * quietBeats) {
-        tellFollowers(now);
+    // Usually advanceFreshness sends the state to followers; this covers the times without progress.
+    const double maxIdleHeartbeats = m_phase == phase::Following ? 1.5 : 0.75;
+    if (now - m_stateSentAt >= m_settings.heartbeatInterval * maxIdleHeartbeats) {
+        sendStateToFollowers(now);
     }
 }
 
-/** One message for all who know the same of the fleet: encoding it anew for each costs a small VM more than the way. */
-void fleet_node::tellFollowers(millis now)
+/**
+ * Sends one message to all followers that were last sent the same member list: encoding a message for each follower
+ * costs a small VM more than sending it.
+ */
+void fleet_node::sendStateToFollowers(millis now)
 {
-    m_toldAt = now;
-    m_toldAsOf = m_asOf;
-    std::map<member_list, std::vector<link_id>> byKnowledge;
+    m_stateSentAt = now;
+    m_sentAsOf = m_currentAsOf;
+    std::map<member_list, std::vector<link_id>> linksByKnownMembers;
     for (auto &[link, one] : m_followers) {
-        byKnowledge[std::exchange(one.told, m_members)].push_back(link);
+        linksByKnownMembers[std::exchange(one.sentMembers, m_members)].push_back(link);
     }
-    for (auto &[told, links] : byKnowledge) {
+    for (auto &[knownMembers, links] : linksByKnownMembers) {
         upstream_state state = ownState(true);
-        state.starting = state.starting || m_phase == phase::Seeking; // no answer of the store stands behind its word
-        state.currentAsOf = mayVouch() ? std::optional(m_asOf - now) : std::nullopt;
-        state.changes = told == m_members ? member_changes() : differenceOf(*told, *m_members);
+        // The state of a seeking process is not based on an answer of the store.
+        state.starting = state.starting || m_phase == phase::Seeking;
+        state.currentAsOf = canConfirmFreshness() ? std::optional(m_currentAsOf - now) : std::nullopt;
+        state.changes = knownMembers == m_members ? member_changes() : memberChangesBetween(*knownMembers, *m_members);
         m_actions.emplace_back(tell_action {std::move(links), std::move(state)});
     }
 }
 
-void fleet_node::dropSilentFollowers(millis now)
+void fleet_node::dropUnresponsiveFollowers(millis now)
 {
-    const millis limit = m_settings.beat * silentFollowerBeats;
+    const millis limit = m_settings.heartbeatInterval * followerTimeoutHeartbeats;
     for (auto at = m_followers.begin(); at != m_followers.end();) {
-        if (now - at->second.heardAt > limit) {
+        if (now - at->second.receivedAt > limit) {
             m_actions.emplace_back(hang_up_action {at->first});
             at = m_followers.erase(at);
             m_subtreeChanged = true;
@@ -191,10 +205,11 @@
     upstream_state state;
     state.accepted = accepted;
     const bool follows = m_phase == phase::Following;
-    // One that seeks does not know; those below need not look as well.
+    // A seeking process does not know the state of the store; it reports success so that its followers do not search as
+    // well.
     state.storeOk = follows ? m_upstreamState.storeOk : m_phase == phase::Seeking || ownStoreOk();
     state.starting = follows ? m_upstreamState.starting : m_starting;
-    state.fleetSize = m_size;
+    state.fleetSize = m_fleetSize;
     state.path = follows ? m_upstreamState.path : std::vector<std::string>();
     state.path.push_back(m_settings.address);
     return state;
--- a/libs/fleet/src/fleet_items.cpp
+++ b/libs/fleet/src/fleet_items.cpp
@@ -1,8 +1,8 @@
-/** @file The store's news on their way down the tree: all of it to whoever has nothing, else what changed. */
+/** @file Distribution of store items down the tree: full contents to new followers without data, otherwise changes. */
 
 #include <fleet/fleet.h>
 
-#include "packing.h"
+#include "compression.h"
 
 #include <algorithm>
 
@@ -10,26 +10,26 @@
 
 namespace {
 
-// Below that a difference with its digest saves nothing; an entry of a leaf has some 200 bytes.
-constexpr std::size_t leastPatchedBytes = 1024;
-constexpr std::uint32_t mostPatchedBytes = 16U
-    << 20U; // far above any value; bounds what a faulty peer can make us hold
+// A delta with its digest saves nothing for smaller values; an entry of a leaf has some 200 bytes.
+constexpr std::size_t minPatchedValueBytes = 1024;
+// Far above any real value; limits the memory that a faulty peer can make this process allocate.
+constexpr std::uint32_t maxPatchedValueBytes = 16U << 20U;
 
 } // namespace
 
-void fleet_node::sendMissing(link_id link, const follow_request &request)
+void fleet_node::sendMissingItems(link_id link, const follow_request &request)
 {
     for (const auto &[prefix, view] : m_views) {
         if (!view.known()) {
             continue;
         }
-        const auto has = std::ranges::find(request.known, prefix, &known_revision::prefix);
-        const std::uint64_t revision = has == request.known.end() ? 0 : has->revision;
+        const auto peerRevision = std::ranges::find(request.known, prefix, &known_revision::prefix);
+        const std::uint64_t revision = peerRevision == request.known.end() ? 0 : peerRevision->revision;
         auto changes = revision == 0 ? std::nullopt : view.changesSince(revision);
-        const bool whole = !changes.has_value();
+        const bool isFull = !changes.has_value();
         store_items items {
-            prefix, whole, view.revision(), whole ? view.contentsWithDeletions() : *std::move(changes), {}};
-        tell(link, std::move(items));
+            prefix, isFull, view.revision(), isFull ? view.contentsWithDeletions() : *std::move(changes), {}};
+        sendMessage(link, std::move(items));
     }
 }
 
@@ -38,35 +38,38 @@
     if (link != m_upstream || m_phase != phase::Following || !m_views.contains(items.prefix)) {
         return;
     }
-    m_upstreamHeardAt = now;
+    m_upstreamReceivedAt = now;
     if (items.whole) {
-        m_wholeAsked.erase(items.prefix);
+        m_fullContentsPending.erase(items.prefix);
         onStoreContents(items.prefix, std::move(items.items), items.revision);
-        tellPastDeletions(m_upstream); // what is missing here it may never have known
-    } else if (unpack(items)) {
+        sendRecentDeletions(m_upstream); // the upstream may never have known the keys that its contents lack
+    } else if (applyPatches(items)) {
         onStoreChanges(items.prefix, std::move(items.items), items.revision);
     }
 }
 
 /**
- * Turns differences into items. @return false if one does not fit: then nothing of the message is taken, since what
- * else it says would make this process claim to know all up to its revision; the whole is asked for instead.
+ * Turns deltas into items. @return false if a delta does not match the local value. The whole message is then ignored,
+ * since applying the rest would make this process claim to know everything up to its revision, and the full contents
+ * are requested instead.
  */
-bool fleet_node::unpack(store_items &items)
+bool fleet_node::applyPatches(store_items &items)
 {
     const store_view &view = m_views.find(items.prefix)->second;
-    if (m_wholeAsked.contains(items.prefix)) {
+    if (m_fullContentsPending.contains(items.prefix)) {
         return false;
     }
     for (const item_patch &patch : items.patches) {
         const store_view::held *base = view.find(patch.key);
         if (base != nullptr && base->revision >= patch.revision) {
-            continue; // known already
+            continue; // already known
         }
-        const bool fits = base != nullptr && base->revision == patch.baseRevision && patch.size <= mostPatchedBytes;
-        std::optional<std::string> value = fits ? unpacked(patch.bytes, base->value, patch.size) : std::nullopt;
+        const bool baseMatches =
+            base != nullptr && base->revision == patch.baseRevision && patch.size <= maxPatchedValueBytes;
+        std::optional<std::string> value =
+            baseMatches ? decompressText(patch.bytes, base->value, patch.size) : std::nullopt;
         if (!value || digestOfText(*value) != patch.digest) {
-            askForWhole(items.prefix, patch.key);
+            requestFullContents(items.prefix, patch.key);
             return false;
         }
         items.items.push_back({patch.key, patch.revision, false, *std::move(value)});
@@ -74,25 +77,25 @@
     return true;
 }
 
-/** Once until it has come: what follows meanwhile does not fit either. */
-void fleet_node::askForWhole(const std::string &prefix, std::string_view key)
+/** Requests the full contents once; deltas that arrive before them do not match either. */
+void fleet_node::requestFullContents(const std::string &prefix, std::string_view key)
 {
-    m_wholeAsked.insert(prefix);
-    note("patch_refused", m_upstreamAddress + " " + std::string(key), millis());
+    m_fullContentsPending.insert(prefix);
+    addLogEvent("patch_refused", m_upstreamAddress + " " + std::string(key), millis());
     follow_request request = ownRequest();
     std::erase_if(request.known, [&](const known_revision &one) { return one.prefix == prefix; });
-    m_toldUpstream = std::make_shared<const std::vector<fleet_member>>(request.members);
-    tell(m_upstream, std::move(request));
+    m_membersSentUpstream = std::make_shared<const std::vector<fleet_member>>(request.members);
+    sendMessage(m_upstream, std::move(request));
 }
 
 void fleet_node::onStoreContents(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision)
 {
     store_view &view = m_views.find(prefix)->second;
     const bool first = !view.known();
-    const std::vector<store_item> news = view.applyContents(std::move(items), revision, mayLapse());
-    if (first || !news.empty()) {
-        // Followers that came before the contents were known got none then.
-        passOn({std::string(prefix), first, view.revision(), news, {}}, news);
+    const std::vector<store_item> newItems = view.applyContents(std::move(items), revision, mayHaveExpiredEntries());
+    if (first || !newItems.empty()) {
+        // Followers that joined before the contents were known have not received any.
+        forwardItems({std::string(prefix), first, view.revision(), newItems, {}}, newItems);
     }
 }
 
@@ -100,15 +103,16 @@
 {
     store_view &view = m_views.find(prefix)->second;
     std::vector<store_item> rest = items;
-    std::vector<item_patch> patches = takePatches(prefix, rest);
-    std::vector<store_item> news = view.applyChanges(std::move(items), revision, mayLapse());
-    if (!news.empty()) {
-        passOn({std::string(prefix), false, view.revision(), std::move(rest), std::move(patches)}, std::move(news));
+    std::vector<item_patch> patches = extractPatches(prefix, rest);
+    std::vector<store_item> newItems = view.applyChanges(std::move(items), revision, mayHaveExpiredEntries());
+    if (!newItems.empty()) {
+        forwardItems({std::string(prefix), false, view.revision(), std::move(rest), std::move(patches)},
+                     std::move(newItems));
     }
 }
 
-/** Takes out of @p items those of which the difference to what is held is worth telling instead. */
-std::vector<item_patch> fleet_node::takePatches(std::string_view prefix, std::vector<store_item> &items) const
+/** Removes from @p items those that are sent as deltas to the local values, and returns the deltas. */
+std::vector<item_patch> fleet_node::extractPatches(std::string_view prefix, std::vector<store_item> &items) const
 {
     std::vector<item_patch> patches;
     if (m_followers.empty()) {
@@ -118,7 +122,7 @@
     std::erase_if(items, [&](const store_item &item) {
         const store_view::held *base = view.find(item.key);
         const bool once = std::ranges::count(items, item.key, &store_item::key) == 1;
-        if (base == nullptr || item.deleted || item.value.size() < leastPatchedBytes || !once
+        if (base == nullptr || item.deleted || item.value.size() < minPatchedValueBytes || !once
             || item.revision <= base->revision) {
             return false;
         }
@@ -127,16 +131,16 @@
                            base->revision,
                            digestOfText(item.value),
                            static_cast<std::uint32_t>(item.value.size()),
-                           packed(item.value, base->value)});
+                           compressText(item.value, base->value)});
         return true;
     });
     return patches;
 }
 
-void fleet_node::passOn(store_items items, std::vector<store_item> news)
+void fleet_node::forwardItems(store_items items, std::vector<store_item> newItems)
 {
-    keepDeletions(items.prefix, news);
-    m_actions.emplace_back(news_action {items.prefix, std::move(news)});
+    recordDeletions(items.prefix, newItems);
+    m_actions.emplace_back(news_action {items.prefix, std::move(newItems)});
     std::vector<link_id> links;
     std::ranges::transform(m_followers, std::back_inserter(links), [](const auto &one) { return one.first; });
     if (!links.empty()) {
--- a/libs/fleet/src/fleet_members.cpp
+++ b/libs/fleet/src/fleet_members.cpp
@@ -1,4 +1,8 @@
-/** @file Who the fleet is, as the tree tells: up what is below, down the whole; changes only, once all is told. */
+/**
+ * @file
+ * Members of the fleet. Each process sends the members of its subtree upstream and the members of the whole fleet to
+ * its followers: the complete list first, then only changes.
+ */
 
 #include <fleet/fleet.h>
 
@@ -6,7 +10,7 @@
 
 namespace chivelock {
 
-member_changes differenceOf(std::span<const fleet_member> before, std::span<const fleet_member> after)
+member_changes memberChangesBetween(std::span<const fleet_member> before, std::span<const fleet_member> after)
 {
     member_changes changes;
     std::ranges::set_difference(after, before, std::back_inserter(changes.joined));
@@ -14,7 +18,7 @@
     return changes;
 }
 
-std::vector<fleet_member> applied(std::span<const fleet_member> before, const member_changes &changes)
+std::vector<fleet_member> applyMemberChanges(std::span<const fleet_member> before, const member_changes &changes)
 {
     std::vector<fleet_member> left = changes.left;
     std::vector<fleet_member> joined = changes.joined;
@@ -37,13 +41,13 @@
         std::ranges::copy(one.members, std::back_inserter(members));
     }
     std::ranges::sort(members);
-    // A process that changed its place is below two others until the old one has noticed.
+    // A process that changed its upstream is in two subtrees until the old upstream notices.
     members.erase(std::unique(members.begin(), members.end()), members.end());
-    members.resize(std::min(members.size(), m_settings.mostMembers));
+    members.resize(std::min(members.size(), m_settings.maxMembers));
     return members;
 }
 
-/** The process at the top knows the fleet by its followers; the others hear of it from above. */
+/** The root takes the members of the fleet from its followers; the others receive them from their upstream. */
 void fleet_node::refreshMembers()
 {
     if (m_phase == phase::Reading) {
@@ -51,14 +55,14 @@
     }
 }
 
-void fleet_node::hearMembers(const upstream_state &state)
+void fleet_node::updateMembers(const upstream_state &state)
 {
     if (!state.members.empty()) {
         std::vector<fleet_member> members = state.members;
         std::ranges::sort(members);
         setMembers(std::move(members));
     } else if (!state.changes.empty()) {
-        setMembers(applied(*m_members, state.changes));
+        setMembers(applyMemberChanges(*m_members, state.changes));
     }
 }
 
--- a/libs/fleet/src/fleet_node.cpp
+++ b/libs/fleet/src/fleet_node.cpp
@@ -1,4 +1,4 @@
-/** @file What comes in, what is due, and what is told to whoever asks. */
+/** @file Message dispatch, periodic work and status queries of @ref fleet_node. */
 
 #include <fleet/fleet.h>
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr std::uint32_t sizeGuess = 64; // until the tree has counted: limits divided by too many are only tight
-constexpr millis guessFor(5000);
-constexpr millis rememberFor(30000); // a part of the fleet that is cut off still spends its part of the limits
+// Used until the tree has counted its processes; too high a value only tightens the limits divided by it.
+constexpr std::uint32_t initialSizeEstimate = 64;
+constexpr millis sizeEstimateDuration(5000);
+constexpr millis largestSizeRetention(30000); // a part of the fleet that is cut off still uses its share of the limits
 
 } // namespace
 
@@ -18,100 +19,104 @@
     : m_settings(std::move(settings))
     , m_random(seed)
     , m_members(std::make_shared<const std::vector<fleet_member>>())
-    , m_toldUpstream(m_members)
+    , m_membersSentUpstream(m_members)
 {
     for (const std::string &prefix : m_settings.prefixes) {
         m_views[prefix];
-        m_readOk[prefix] = false;
+        m_prefixReadOk[prefix] = false;
     }
 }
 
 void fleet_node::start(millis now)
 {
-    m_guessUntil = now + guessFor;
+    m_sizeEstimateUntil = now + sizeEstimateDuration;
     m_tickAt = now;
-    m_quietAt = now;
-    m_nextBeat = now + m_settings.beat;
-    seek(now);
+    m_previousTickAt = now;
+    m_nextHeartbeat = now + m_settings.heartbeatInterval;
+    startSearch(now);
 }
 
 void fleet_node::leave(millis now)
 {
     m_leaving = true;
-    const auto hangUp = [this](link_id link) { m_actions.emplace_back(hang_up_action {link}); };
-    std::ranges::for_each(m_followers, hangUp, [](const auto &one) { return one.first; });
-    std::ranges::for_each(m_waiting, hangUp, &waiting_follower::link);
+    const auto closeLink = [this](link_id link) { m_actions.emplace_back(hang_up_action {link}); };
+    std::ranges::for_each(m_followers, closeLink, [](const auto &one) { return one.first; });
+    std::ranges::for_each(m_waiting, closeLink, &waiting_follower::link);
     m_followers.clear();
     m_waiting.clear();
-    beat(now); // those below must not be sent back here
-    m_nextMerge = now + m_settings.drawInterval; // those below read by themselves now: one of them can be followed
+    sendHeartbeat(now); // the upstream must not refer the dropped followers back to this process
+    // The dropped followers may read the store now, and this process can follow one of them.
+    m_nextReaderSearch = now + m_settings.drawInterval;
 }
 
 void fleet_node::onMessage(link_id link, fleet_message message, millis now)
 {
     if (auto *request = std::get_if<follow_request>(&message)) {
         onFollow(link, std::move(*request), now);
-    } else if (const auto *sign = std::get_if<follow_beat>(&message)) {
-        onBeat(link, *sign, now);
+    } else if (const auto *heartbeat = std::get_if<follow_beat>(&message)) {
+        onHeartbeat(link, *heartbeat, now);
     } else if (const auto *state = std::get_if<upstream_state>(&message)) {
         onState(link, *state, now);
     } else if (auto *items = std::get_if<store_items>(&message)) {
         onItems(link, std::move(*items), now);
     } else if (const auto *deletions = std::get_if<past_deletions>(&message)) {
-        onPastDeletions(link, *deletions);
-    } else if (auto *news = std::get_if<leaf_news>(&message)) {
-        onLeafNews(link, std::move(*news), now);
+        onRecentDeletions(link, *deletions);
+    } else if (auto *reports = std::get_if<leaf_news>(&message)) {
+        onLeafReports(link, std::move(*reports), now);
     } else if (auto *requests = std::get_if<request_news>(&message)) {
-        onRequestNews(link, std::move(*requests), now);
+        onRequestEvidence(link, std::move(*requests), now);
     }
 }
 
 void fleet_node::onStoreState(std::string_view prefix, bool ok, millis now)
 {
-    m_readOk.find(prefix)->second = ok;
+    m_prefixReadOk.find(prefix)->second = ok;
     if (m_phase != phase::Reading) {
         return;
     }
-    // In trouble another reader is wanted at once. Out of it, many may read who began in the trouble: all but one stop.
-    // Whoever is served at the first try while others are not tells the seeds at once.
-    const millis spread = m_settings.beat * (1 + 2 * m_random.uniform());
-    const bool firstWord = std::exchange(m_starting, m_starting && ok && !ownStoreOk());
-    m_nextMerge = std::min(m_nextMerge, firstWord && ok ? now + m_settings.drawInterval : now + spread);
-    tellFollowers(now);
+    // After the store is lost, another reader is needed soon. After it is regained, many processes may be reading that
+    // started during the outage, and all but one must stop. A process whose first read succeeds contacts the seeds
+    // sooner still, since the store may be rejecting the others.
+    const millis spread = m_settings.heartbeatInterval * (1 + 2 * m_random.uniform());
+    const bool isFirstStoreResult = std::exchange(m_starting, m_starting && ok && !ownStoreOk());
+    m_nextReaderSearch =
+        std::min(m_nextReaderSearch, isFirstStoreResult && ok ? now + m_settings.drawInterval : now + spread);
+    sendStateToFollowers(now);
 }
 
-void fleet_node::noteTick(millis now)
+void fleet_node::recordTick(millis now)
 {
     const millis gap = now - m_tickAt;
-    m_quietAt = m_tickAt;
+    m_previousTickAt = m_tickAt;
     m_tickAt = now;
-    // While a VM is suspended what is sent to it is lost, and sent again it may come long after.
-    if (m_phase == phase::Following && gap > m_settings.silence) {
-        loseUpstream("stood_still", now);
+    // Messages sent to a suspended VM are lost, and their retransmissions may arrive long after it resumes, so
+    // the link to the upstream is replaced.
+    if (m_phase == phase::Following && gap > m_settings.upstreamTimeout) {
+        dropUpstream("stood_still", now);
     }
 }
 
 void fleet_node::tick(millis now)
 {
-    noteTick(now);
-    judgeStore(now);
+    recordTick(now);
+    updateStoreAvailability(now);
     if (m_phase == phase::Following) {
-        judgeUpstream(now);
+        checkUpstream(now);
     }
     if (m_phase == phase::Seeking && now >= m_redialAt) {
-        lookAgain(now);
+        restartSeedSearch(now);
     }
     if (m_phase == phase::Seeking) {
         drawToRead(now);
     }
-    if (m_phase == phase::Reading && now >= m_nextMerge) {
-        lookForReader(now);
+    if (m_phase == phase::Reading && now >= m_nextReaderSearch) {
+        searchForReader(now);
     }
-    dropSilentFollowers(now);
-    tellReports(now);
-    if (now >= m_nextBeat || m_subtreeChanged) {
-        m_nextBeat = now + m_settings.beat;
-        beat(now);
+    dropUnresponsiveFollowers(now);
+    sendReports(now);
+    if (now >= m_nextHeartbeat || m_subtreeChanged) {
+        m_nextHeartbeat = now + m_settings.heartbeatInterval;
+        sendHeartbeat(now);
     }
 }
 
@@ -122,17 +127,17 @@
 
 std::size_t fleet_node::fleetSize(millis now) const
 {
-    const std::uint32_t seen = std::max(m_size, now < m_rememberedUntil ? m_rememberedSize : 1);
-    return now < m_guessUntil ? std::max(seen, sizeGuess) : seen;
+    const std::uint32_t seen = std::max(m_fleetSize, now < m_recentLargestSizeUntil ? m_recentLargestSize : 1);
+    return now < m_sizeEstimateUntil ? std::max(seen, initialSizeEstimate) : seen;
 }
 
 bool fleet_node::hearsPeers(millis now) const
 {
-    const millis late = m_settings.beat * 2;
+    const millis late = m_settings.heartbeatInterval * 2;
     if (m_phase == phase::Following) {
-        return now - m_upstreamHeardAt < late;
+        return now - m_upstreamReceivedAt < late;
     }
-    return std::ranges::any_of(m_followers, [&](const auto &one) { return now - one.second.heardAt < late; });
+    return std::ranges::any_of(m_followers, [&](const auto &one) { return now - one.second.receivedAt < late; });
 }
 
 const store_view &fleet_node::view(std::string_view prefix) const
@@ -142,24 +147,24 @@
 
 bool fleet_node::ownStoreOk() const
 {
-    return std::ranges::all_of(m_readOk, [](const auto &one) { return one.second; });
+    return std::ranges::all_of(m_prefixReadOk, [](const auto &one) { return one.second; });
 }
 
-void fleet_node::tell(link_id link, fleet_message message)
+void fleet_node::sendMessage(link_id link, fleet_message message)
 {
     m_actions.emplace_back(tell_action {{link}, std::move(message)});
 }
 
-void fleet_node::noteSize(std::uint32_t size, millis now)
+void fleet_node::recordFleetSize(std::uint32_t size, millis now)
 {
-    m_size = size;
-    if (size >= m_rememberedSize || now >= m_rememberedUntil) {
-        m_rememberedSize = size;
-        m_rememberedUntil = now + rememberFor;
+    m_fleetSize = size;
+    if (size >= m_recentLargestSize || now >= m_recentLargestSizeUntil) {
+        m_recentLargestSize = size;
+        m_recentLargestSizeUntil = now + largestSizeRetention;
     }
 }
 
-void fleet_node::note(std::string_view event, std::string about, millis input)
+void fleet_node::addLogEvent(std::string_view event, std::string about, millis input)
 {
     m_actions.emplace_back(tree_note_action {event, std::move(about), input});
 }
--- a/libs/fleet/src/fleet_reports.cpp
+++ b/libs/fleet/src/fleet_reports.cpp
@@ -1,4 +1,4 @@
-/** @file Reports about leafs on their way through the tree, in both directions. */
+/** @file Distribution of reports about leafs through the tree, in both directions. */
 
 #include <fleet/fleet.h>
 
@@ -8,33 +8,34 @@
 
 namespace {
 
-constexpr millis reportLife(3000); // older word is of little use, and one that runs in a circle of the tree ends
+// Older reports are of little use; the limit also ends reports that travel in a cycle of the tree.
+constexpr millis maxReportAge(3000);
 
 } // namespace
 
 void fleet_node::report(std::span<const leaf_report> reports)
 {
-    std::ranges::for_each(reports, [&](const leaf_report &one) { keepReport(one, 0); });
+    std::ranges::for_each(reports, [&](const leaf_report &one) { queueReport(one, 0); });
 }
 
-void fleet_node::keepReport(const leaf_report &report, link_id from)
+void fleet_node::queueReport(const leaf_report &report, link_id from)
 {
-    const auto [at, added] = m_reports.try_emplace(report.leaf, kept_report {report, from});
+    const auto [at, added] = m_queuedReports.try_emplace(report.leaf, queued_report {report, from});
     if (!added && at->second.report.observedAt < report.observedAt) {
         at->second = {report, from};
     }
 }
 
-void fleet_node::onLeafNews(link_id link, leaf_news news, millis now)
+void fleet_node::onLeafReports(link_id link, leaf_news message, millis now)
 {
     if (!isNeighbour(link)) {
         return;
     }
-    for (leaf_report &one : news.reports) {
+    for (leaf_report &one : message.reports) {
         one.observedAt = now + one.observedAt;
-        keepReport(one, link);
+        queueReport(one, link);
     }
-    m_actions.emplace_back(reports_action {std::move(news.reports)});
+    m_actions.emplace_back(reports_action {std::move(message.reports)});
 }
 
 std::vector<link_id> fleet_node::neighbours() const
@@ -47,30 +48,30 @@
     return links;
 }
 
-/** Gathers what came since the last tick: one message for each neighbour, however many VMs had something to say. */
-void fleet_node::tellReports(millis now)
+/** Sends the queued reports as one message to each neighbour, however many VMs they came from. */
+void fleet_node::sendReports(millis now)
 {
-    std::erase_if(m_reports, [&](const auto &one) { return now - one.second.report.observedAt > reportLife; });
-    if (m_reports.empty() || now < m_nextReports) {
+    std::erase_if(m_queuedReports, [&](const auto &one) { return now - one.second.report.observedAt > maxReportAge; });
+    if (m_queuedReports.empty() || now < m_nextReports) {
         return;
     }
     m_nextReports = now + m_settings.reportInterval;
-    std::vector<kept_report> chosen;
-    std::ranges::transform(m_reports, std::back_inserter(chosen), [](const auto &one) { return one.second; });
-    // The slowest matter most; the others follow with later ticks.
-    std::ranges::sort(chosen, std::ranges::greater(), [](const kept_report &one) { return one.report.slowness; });
-    chosen.resize(std::min(chosen.size(), m_settings.mostReports));
-    std::ranges::for_each(chosen, [&](const kept_report &one) { m_reports.erase(one.report.leaf); });
+    std::vector<queued_report> chosen;
+    std::ranges::transform(m_queuedReports, std::back_inserter(chosen), [](const auto &one) { return one.second; });
+    // Reports about the slowest leafs matter most; the others follow with later ticks.
+    std::ranges::sort(chosen, std::ranges::greater(), [](const queued_report &one) { return one.report.slowness; });
+    chosen.resize(std::min(chosen.size(), m_settings.maxReportsPerMessage));
+    std::ranges::for_each(chosen, [&](const queued_report &one) { m_queuedReports.erase(one.report.leaf); });
     for (const link_id link : neighbours()) {
-        leaf_news news;
-        for (const kept_report &one : chosen) {
+        leaf_news message;
+        for (const queued_report &one : chosen) {
             if (one.from != link) {
-                news.reports.push_back(one.report);
-                news.reports.back().observedAt = one.report.observedAt - now;
+                message.reports.push_back(one.report);
+                message.reports.back().observedAt = one.report.observedAt - now;
             }
         }
-        if (!news.reports.empty()) {
-            tell(link, std::move(news));
+        if (!message.reports.empty()) {
+            sendMessage(link, std::move(message));
         }
     }
 }
--- a/libs/fleet/src/fleet_requests.cpp
+++ b/libs/fleet/src/fleet_requests.cpp
@@ -1,8 +1,9 @@
 /**
  * @file
- * What VMs found out about requests that end leafs, on its way through the tree, in both directions. It is told at
- * once, since the next attempt may be at another VM within milliseconds, and whole to whoever joins: a VM that starts
- * or was cut off would be the one that lets such a request through. Nothing is sent while nothing is found out.
+ * Distribution of evidence about queries of death (requests that crash leafs) through the tree, in both directions. It
+ * is sent without delay, since the next attempt may reach another VM within milliseconds. A process that joins receives
+ * all evidence: otherwise a VM that has just started or was cut off would let such a request through. Nothing is sent
+ * while there is no new evidence.
  */
 
 #include <fleet/fleet.h>
@@ -13,16 +14,16 @@
 
 namespace {
 
-/** As they go on the wire: how long ago. */
-request_news withAges(std::span<const request_evidence> requests, millis now)
+/** Converts the times to negative ages, as the codec expects them. */
+request_news withWireAges(std::span<const request_evidence> requests, millis now)
 {
-    request_news news;
-    news.requests.assign(requests.begin(), requests.end());
-    for (request_evidence &one : news.requests) {
+    request_news message;
+    message.requests.assign(requests.begin(), requests.end());
+    for (request_evidence &one : message.requests) {
         one.answeredAt = one.answeredAt - now;
         std::ranges::for_each(one.ends, [&](leaf_end &end) { end.at = end.at - now; });
     }
-    return news;
+    return message;
 }
 
 } // namespace
@@ -33,16 +34,16 @@
     return upstream || m_followers.contains(link);
 }
 
-void fleet_node::onRequestNews(link_id link, request_news news, millis now)
+void fleet_node::onRequestEvidence(link_id link, request_news message, millis now)
 {
     if (!isNeighbour(link)) {
         return;
     }
-    for (request_evidence &one : news.requests) {
+    for (request_evidence &one : message.requests) {
         one.answeredAt = one.answeredAt + now;
         std::ranges::for_each(one.ends, [&](leaf_end &end) { end.at = end.at + now; });
     }
-    m_actions.emplace_back(requests_action {link, std::move(news.requests)});
+    m_actions.emplace_back(requests_action {link, std::move(message.requests)});
 }
 
 void fleet_node::tellRequests(std::span<const request_evidence> requests, link_id except, millis now)
@@ -50,14 +51,14 @@
     std::vector<link_id> links = neighbours();
     std::erase(links, except);
     if (!requests.empty() && !links.empty()) {
-        m_actions.emplace_back(tell_action {std::move(links), withAges(requests, now)});
+        m_actions.emplace_back(tell_action {std::move(links), withWireAges(requests, now)});
     }
 }
 
 void fleet_node::greet(link_id link, std::span<const request_evidence> requests, millis now)
 {
     if (!requests.empty() && isNeighbour(link)) {
-        tell(link, withAges(requests, now));
+        sendMessage(link, withWireAges(requests, now));
     }
 }
 
--- a/libs/fleet/src/store_view.cpp
+++ b/libs/fleet/src/store_view.cpp
@@ -7,27 +7,28 @@
 
 namespace {
 
-constexpr std::size_t mostDeletions = 4096; // remembered for followers that lag; beyond that they get everything anew
-constexpr std::size_t mostToldDeletions = 256; // to whoever begins to listen; some kilobytes once
+// For followers that lag behind; those that lag further get the full contents.
+constexpr std::size_t maxRememberedDeletions = 4096;
+constexpr std::size_t maxSentDeletions = 256; // with the full contents; some kilobytes for each new follower
 
 } // namespace
 
 std::vector<store_item>
-store_view::applyChanges(std::vector<store_item> items, std::uint64_t revision, bool mayHaveLapsed)
+store_view::applyChanges(std::vector<store_item> items, std::uint64_t revision, bool mayHaveExpired)
 {
-    if (!mayHaveLapsed) {
-        addMissedDeletions(items);
+    if (!mayHaveExpired) {
+        addInferredDeletions(items);
     }
-    std::erase_if(items, [this](const store_item &item) { return !isNews(item); });
+    std::erase_if(items, [this](const store_item &item) { return !isNewer(item); });
     std::ranges::stable_sort(items, {}, &store_item::revision);
-    std::ranges::for_each(items, [&](const store_item &item) { keep(item, mayHaveLapsed); });
+    std::ranges::for_each(items, [&](const store_item &item) { applyItem(item, mayHaveExpired); });
     m_revision = std::max(m_revision, revision);
-    forgetOldDeletions();
+    dropOldDeletions();
     return items;
 }
 
 std::vector<store_item>
-store_view::applyContents(std::vector<store_item> items, std::uint64_t revision, bool mayHaveLapsed)
+store_view::applyContents(std::vector<store_item> items, std::uint64_t revision, bool mayHaveExpired)
 {
     std::set<std::string_view> present;
     for (const store_item &item : items) {
@@ -35,39 +36,39 @@
             present.insert(item.key);
         }
     }
-    std::vector<store_item> gone;
+    std::vector<store_item> missing;
     for (const auto &[key, known] : m_items) {
-        // A key that was written after the contents were read is missing from them for that reason alone.
+        // A key that was written after the contents were read is missing from them without having been deleted.
         if (!present.contains(key) && known.revision <= revision) {
-            gone.push_back({key, revision, true, {}});
+            missing.push_back({key, revision, true, {}});
         }
     }
-    std::ranges::move(gone, std::back_inserter(items));
+    std::ranges::move(missing, std::back_inserter(items));
     if (!m_known) {
         m_deletionsSince = revision;
     }
     m_known = true;
-    return applyChanges(std::move(items), revision, mayHaveLapsed);
+    return applyChanges(std::move(items), revision, mayHaveExpired);
 }
 
-std::vector<store_item> store_view::applyPastDeletions(std::span<const store_item> items)
+std::vector<store_item> store_view::applyRecentDeletions(std::span<const store_item> items)
 {
-    std::vector<store_item> news;
+    std::vector<store_item> newItems;
     for (const store_item &item : items) {
         const auto last = m_deleted.find(item.key);
-        const std::uint64_t knownUpTo = last == m_deleted.end() ? 0 : last->second.revision;
-        if (!item.deleted || knownUpTo >= item.revision) {
+        const std::uint64_t knownDeletionRevision = last == m_deleted.end() ? 0 : last->second.revision;
+        if (!item.deleted || knownDeletionRevision >= item.revision) {
             continue;
         }
         m_deleted[item.key].revision = item.revision;
-        news.push_back(item);
+        newItems.push_back(item);
         const auto known = m_items.find(item.key);
         if (known != m_items.end() && known->second.revision > item.revision) {
-            news.push_back({item.key, known->second.revision, false, known->second.value});
+            newItems.push_back({item.key, known->second.revision, false, known->second.value});
         }
     }
-    forgetOldDeletions();
-    return news;
+    dropOldDeletions();
+    return newItems;
 }
 
 const store_view::held *store_view::find(std::string_view key) const
@@ -108,20 +109,20 @@
 {
     std::vector<store_item> all;
     for (const auto &[key, last] : m_deleted) {
-        if (!last.mayHaveLapsed) {
+        if (!last.mayHaveExpired) {
             all.push_back({key, last.revision, true, {}});
         }
     }
-    const std::size_t told = std::min(all.size(), mostToldDeletions);
-    const auto end = all.begin() + static_cast<std::ptrdiff_t>(told);
+    const std::size_t sentCount = std::min(all.size(), maxSentDeletions);
+    const auto end = all.begin() + static_cast<std::ptrdiff_t>(sentCount);
     std::ranges::partial_sort(all, end, std::greater(), &store_item::revision);
     all.erase(end, all.end());
     std::ranges::move(contents(), std::back_inserter(all));
     return all;
 }
 
-/** A key that came to be after what is held of it was deleted in between, though nobody told. */
-void store_view::addMissedDeletions(std::vector<store_item> &items) const
+/** Adds a deletion for each key that was created after the local item: it was deleted in between, without a message. */
+void store_view::addInferredDeletions(std::vector<store_item> &items) const
 {
     std::vector<store_item> missed;
     for (const store_item &item : items) {
@@ -133,34 +134,34 @@
     items.insert(items.begin(), missed.begin(), missed.end());
 }
 
-bool store_view::isNews(const store_item &item) const
+bool store_view::isNewer(const store_item &item) const
 {
     if (const auto found = m_items.find(item.key); found != m_items.end()) {
         const bool newer = item.revision > found->second.revision;
         return newer || (item.deleted && item.revision == found->second.revision);
     }
-    // Also of a key that was never seen here: what is written after it may be older than it looks.
+    // The deletion of an unknown key is also new: a write after it may be a late write of the deleted entry.
     const auto deleted = m_deleted.find(item.key);
     return deleted == m_deleted.end() || item.revision > deleted->second.revision;
 }
 
-void store_view::keep(const store_item &item, bool mayHaveLapsed)
+void store_view::applyItem(const store_item &item, bool mayHaveExpired)
 {
     if (item.deleted) {
         m_items.erase(item.key);
-        m_deleted[item.key] = {item.revision, mayHaveLapsed};
+        m_deleted[item.key] = {item.revision, mayHaveExpired};
         return;
     }
     const auto before = m_deleted.find(item.key);
-    if (before != m_deleted.end() && before->second.mayHaveLapsed) {
+    if (before != m_deleted.end() && before->second.mayHaveExpired) {
         m_deleted.erase(before);
     }
     m_items[item.key] = {item.revision, item.value};
 }
 
-void store_view::forgetOldDeletions()
+void store_view::dropOldDeletions()
 {
-    while (m_deleted.size() > mostDeletions) {
+    while (m_deleted.size() > maxRememberedDeletions) {
         const auto oldest =
             std::ranges::min_element(m_deleted, {}, [](const auto &one) { return one.second.revision; });
         m_deletionsSince = std::max(m_deletionsSince, oldest->second.revision);
