--- a/programs/chivelockd/gateway/addresses.cpp
+++ b/programs/chivelockd/gateway/addresses.cpp
@@ -18,8 +18,8 @@
     const auto ip = asio::ip::make_address(std::string(text.substr(0, colon)), error);
     std::uint16_t port = 0;
     const std::string_view digits = text.substr(colon + 1);
-    const auto [end, wrong] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-    if (error || wrong != std::errc() || end != digits.data() + digits.size()) {
+    const auto [end, parseError] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
+    if (error || parseError != std::errc() || end != digits.data() + digits.size()) {
         return std::nullopt;
     }
     return tcp::endpoint(ip, port);
--- a/programs/chivelockd/gateway/addresses.h
+++ b/programs/chivelockd/gateway/addresses.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file Addresses as text, and listening at them. */
+/** @file Parses addresses and opens listening sockets. */
 
 #include <boost/asio/ip/tcp.hpp>
 
@@ -10,13 +10,13 @@
 
 namespace chivelock {
 
-/** @return the endpoint, or nothing if @p text is not an IP number with a port. */
+/** @return the endpoint, or nothing if @p text is not an IP address with a port. */
 [[nodiscard]] std::optional<boost::asio::ip::tcp::endpoint> parseEndpoint(std::string_view text);
 
-/** @return an address without its port. */
+/** @return the address without its port. */
 [[nodiscard]] std::string_view hostOf(std::string_view address);
 
-/** Opens and binds the acceptor. @return why it can't. */
+/** Opens and binds the acceptor and starts listening. @return the error that prevented it, if any. */
 [[nodiscard]] boost::system::error_code
 listenAt(boost::asio::ip::tcp::acceptor &acceptor, const std::string &address, std::uint16_t port);
 
--- a/programs/chivelockd/gateway/caller_server.cpp
+++ b/programs/chivelockd/gateway/caller_server.cpp
@@ -18,15 +18,15 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 16384; // one read: a typical request whole, a long body in few pieces
-constexpr std::size_t pipelinedBytes = 65536; // kept of requests sent ahead; more waits in the kernel
-constexpr millis sweepInterval(250); // closes idle connections that much late at most, never early
-constexpr millis lingerFor(1000); // for the caller to read the last answer before the connection is gone
-constexpr millis writeLimit(10000); // a caller that does not read its answer for so long has gone
+constexpr std::size_t readBytes = 16384; // holds a complete typical request; a long body takes few reads
+constexpr std::size_t maxPipelinedBytes = 65536; // buffered pipelined requests; the rest stays in the kernel
+constexpr millis sweepInterval(250); // idle connections are closed at most this late, never early
+constexpr millis lingerLimit(1000); // for the caller to read the last answer before the connection is closed
+constexpr millis writeLimit(10000); // a caller that takes longer to read its answer counts as disconnected
 
 } // namespace
 
-/** One connection. */
+/** One connection of a caller. */
 class caller_server::session : public std::enable_shared_from_this<session>
 {
 public:
@@ -34,13 +34,13 @@
         : m_server(server)
         , m_id(id)
         , m_socket(std::move(socket))
-        , m_since(boot_clock().now())
+        , m_phaseStart(boot_clock().now())
     {
     }
 
     void start()
     {
-        error_code ignored; // without it answers are only slower
+        error_code ignored; // without this option answers are only slower
         m_socket.set_option(tcp::no_delay(true), ignored);
         read();
     }
@@ -51,7 +51,7 @@
             return;
         }
         m_phase = phase::Writing;
-        m_since = boot_clock().now();
+        m_phaseStart = boot_clock().now();
         m_output = std::move(bytes);
         asio::async_write(
             m_socket, asio::buffer(m_output), [self = shared_from_this(), close](const error_code &error, std::size_t) {
@@ -84,56 +84,56 @@
     void closeIfIdle()
     {
         if (m_phase == phase::Waiting && m_input.empty() && !m_reader.begun()) {
-            end();
+            closeAndRemove();
         }
     }
 
     void closeIfOverdue(millis now, const caller_limits &limits)
     {
-        const bool midHead = m_phase == phase::Waiting && (m_reader.begun() || !m_input.empty());
-        const bool idle = m_phase == phase::Waiting && !midHead;
-        const millis age = now - m_since;
-        if (midHead && age > limits.headTimeout) {
-            fault(read_state::NeedMore);
-        } else if ((idle && age > limits.idleTimeout) || (m_phase == phase::Lingering && age > lingerFor)
+        const bool hasPartialRequest = m_phase == phase::Waiting && (m_reader.begun() || !m_input.empty());
+        const bool idle = m_phase == phase::Waiting && !hasPartialRequest;
+        const millis age = now - m_phaseStart;
+        if (hasPartialRequest && age > limits.headTimeout) {
+            rejectInput(read_state::NeedMore);
+        } else if ((idle && age > limits.idleTimeout) || (m_phase == phase::Lingering && age > lingerLimit)
                    || (m_phase == phase::Writing && age > writeLimit)) {
-            end();
+            closeAndRemove();
         }
     }
 
-    void abandon()
+    void closeConnection()
     {
         m_phase = phase::Closed;
-        error_code ignored; // it is closed in any case
+        error_code ignored; // the socket is closed even if an error is reported
         m_socket.close(ignored);
     }
 
 private:
     enum class phase : std::uint8_t {
-        Waiting, ///< for a request or the rest of one
-        Busy, ///< the request is being served
+        Waiting, ///< for a request or the rest of one, or idle
+        Busy, ///< a request is being served
         Writing,
-        Lingering, ///< everything was said; waits for the caller to close
+        Lingering, ///< the last answer was sent; waits for the caller to close
         Closed
     };
 
     void read()
     {
-        if (m_reading || m_input.size() >= pipelinedBytes) {
+        if (m_readPending || m_input.size() >= maxPipelinedBytes) {
             return;
         }
-        m_reading = true;
-        m_socket.async_read_some(asio::buffer(m_chunk),
+        m_readPending = true;
+        m_socket.async_read_some(asio::buffer(m_readBuffer),
                                  [self = shared_from_this()](const error_code &error, std::size_t count) {
-                                     self->m_reading = false;
+                                     self->m_readPending = false;
                                      self->onRead(error, count);
                                  });
     }
 
     void onRead(const error_code &error, std::size_t count)
     {
-        // Bytes may have come in before the close and be handed over after it. A request among them would be passed on
-        // to leafs and never answered, its caller being told by the close that nobody has read it.
+        // Bytes that arrived before the close may be delivered after it. A request among them would be sent to leafs
+        // but never answered, although the close tells its caller that the request was not read.
         if (m_phase == phase::Closed) {
             return;
         }
@@ -143,8 +143,8 @@
         }
         if (m_phase != phase::Lingering) {
             const bool first = m_phase == phase::Waiting && m_input.empty() && !m_reader.begun();
-            m_since = first ? boot_clock().now() : m_since;
-            m_input.append(m_chunk.data(), count);
+            m_phaseStart = first ? boot_clock().now() : m_phaseStart;
+            m_input.append(m_readBuffer.data(), count);
         }
         if (m_phase == phase::Waiting) {
             parse();
@@ -157,14 +157,14 @@
         m_reader.setLimits(m_server.m_limits.headBytes, m_server.m_limits.bodyBytes);
         read_state state = m_reader.feed(m_input);
         if (state == read_state::HeadComplete) {
-            sayContinue();
+            sendContinue();
             state = m_reader.feed(m_input);
         }
         if (state == read_state::NeedMore || state == read_state::HeadComplete) {
             return;
         }
         if (state != read_state::Complete) {
-            fault(state);
+            rejectInput(state);
             return;
         }
         m_phase = phase::Busy;
@@ -174,32 +174,32 @@
         m_server.m_listener.onRequest(m_id, std::move(request));
     }
 
-    /** Sent apart from answers: it is small, and the connection has nothing else to write. */
-    void sayContinue()
+    /** Sends the interim response synchronously: it is small, and nothing else is being written on the connection. */
+    void sendContinue()
     {
         if (!m_reader.wantsContinue()) {
             return;
         }
         static constexpr std::string_view interim = "HTTP/1.1 100 Continue\r\n\r\n";
-        error_code ignored; // a failure shows again at the next read
+        error_code ignored; // a failure is detected by the next read
         m_socket.send(asio::buffer(interim), 0, ignored);
     }
 
-    void fault(read_state state)
+    void rejectInput(read_state state)
     {
         m_phase = phase::Busy;
-        reply(m_server.m_writeFault(state), true);
+        reply(m_server.m_writeReadError(state), true);
     }
 
     void onWritten(const error_code &error, bool close)
     {
         if (error) {
-            end();
+            closeAndRemove();
         }
         if (m_phase == phase::Closed) {
             return;
         }
-        m_since = boot_clock().now();
+        m_phaseStart = boot_clock().now();
         if (close || !m_keepAlive) {
             linger();
             return;
@@ -211,12 +211,12 @@
         read();
     }
 
-    /** Closing with unread bytes would reset the connection and destroy the answer on its way. */
+    /** Shuts down the sending side only: closing with unread input would reset the connection and lose the answer. */
     void linger()
     {
         m_phase = phase::Lingering;
         m_input.clear();
-        error_code ignored; // the peer may have gone
+        error_code ignored; // the peer may have closed the connection
         m_socket.shutdown(tcp::socket::shutdown_send, ignored);
         read();
     }
@@ -224,15 +224,15 @@
     void onPeerClosed()
     {
         const bool unanswered = m_phase == phase::Busy;
-        end();
+        closeAndRemove();
         if (unanswered) {
             m_server.m_listener.onCallerLeft(m_id);
         }
     }
 
-    void end()
+    void closeAndRemove()
     {
-        abandon();
+        closeConnection();
         m_server.m_sessions.erase(m_id);
     }
 
@@ -240,20 +240,20 @@
     session_id m_id;
     tcp::socket m_socket;
     request_reader m_reader;
-    std::array<char, readBytes> m_chunk {};
+    std::array<char, readBytes> m_readBuffer {};
     std::string m_input;
     std::string m_output;
     phase m_phase = phase::Waiting;
-    std::uint64_t m_requests = 0; ///< read whole
-    bool m_reading = false;
+    std::uint64_t m_requests = 0; ///< read completely
+    bool m_readPending = false;
     bool m_keepAlive = true;
-    millis m_since; ///< start of the phase, or of the request's first byte
+    millis m_phaseStart; ///< start of the phase, or arrival of the request's first byte
 };
 
-caller_server::caller_server(asio::io_context &reactor, request_listener &listener, fault_writer writeFault)
+caller_server::caller_server(asio::io_context &reactor, request_listener &listener, read_error_writer writeReadError)
     : m_reactor(reactor)
     , m_listener(listener)
-    , m_writeFault(writeFault)
+    , m_writeReadError(writeReadError)
     , m_acceptor(reactor)
     , m_sweepTimer(reactor)
 {
@@ -262,7 +262,7 @@
 caller_server::~caller_server()
 {
     for (const auto &[id, one] : m_sessions) {
-        one->abandon();
+        one->closeConnection();
     }
 }
 
@@ -288,7 +288,7 @@
     return found == m_sessions.end() ? std::nullopt : found->second->roundTrip();
 }
 
-bool caller_server::isNew(session_id id) const
+bool caller_server::isFirstRequest(session_id id) const
 {
     const auto found = m_sessions.find(id);
     return found != m_sessions.end() && found->second->requests() == 1;
@@ -326,7 +326,7 @@
         const millis now = boot_clock().now();
         std::vector<std::shared_ptr<session>> all;
         for (const auto &[id, one] : m_sessions) {
-            all.push_back(one); // closing one changes the map
+            all.push_back(one); // closing a session removes it from the map
         }
         for (const auto &one : all) {
             one->closeIfOverdue(now, m_limits);
@@ -346,7 +346,7 @@
 
 void caller_server::stopListening()
 {
-    error_code ignored; // nothing depends on it
+    error_code ignored; // nothing depends on the result
     m_acceptor.close(ignored);
 }
 
--- a/programs/chivelockd/gateway/caller_server.h
+++ b/programs/chivelockd/gateway/caller_server.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * HTTP server on the reactor thread. One request of a connection at a time; the connection is watched meanwhile, so
- * that work for a caller who has left can be stopped.
+ * HTTP server on the reactor thread. Serves one request per connection at a time and keeps reading meanwhile, so that
+ * work for a caller that has disconnected can be stopped.
  */
 
 #include <gateway/gateway.h>
@@ -22,7 +22,7 @@
 
 using session_id = std::uint64_t;
 
-/** What a server tells its owner. */
+/** Receives the events of a @ref caller_server. */
 class request_listener
 {
 public:
@@ -31,47 +31,46 @@
     request_listener &operator=(const request_listener &) = delete;
     virtual ~request_listener() = default;
 
-    /** Every request gets exactly one @ref caller_server::reply, unless its caller leaves before. */
+    /** Every request must get exactly one @ref caller_server::reply, unless its caller disconnects before. */
     virtual void onRequest(session_id session, http_request request) = 0;
 
     /** The caller of an unanswered request closed its connection. */
     virtual void onCallerLeft(session_id session) = 0;
 };
 
-/** Writes the answer to a message that can't be taken as a request. */
-using fault_writer = std::string (*)(read_state fault);
+/** Formats the error response to input that is not a valid request. */
+using read_error_writer = std::string (*)(read_state fault);
 
-/** Listens at one address. */
+/** HTTP server for one listening address. */
 class caller_server
 {
 public:
-    caller_server(boost::asio::io_context &reactor, request_listener &listener, fault_writer writeFault);
+    caller_server(boost::asio::io_context &reactor, request_listener &listener, read_error_writer writeReadError);
     caller_server(const caller_server &) = delete;
     caller_server &operator=(const caller_server &) = delete;
     ~caller_server();
 
-    /** @return the reason if the address can't be used. */
+    /** @return the error if the address cannot be used. */
     [[nodiscard]] boost::system::error_code listen(const std::string &address, std::uint16_t port);
 
     void setLimits(const caller_limits &limits, std::size_t maxSessions);
 
-    /** Sends @p bytes as the answer to the session's request. @param close the connection ends after it. */
+    /** Sends @p bytes as the answer to the session's request. @param close whether the connection closes then. */
     void reply(session_id session, std::string bytes, bool close);
 
-    /** @return how long a packet to the session's caller and back takes, as the kernel has measured it; nothing if it
-     *  has not. */
+    /** @return the round-trip time to the session's caller as measured by the kernel; nothing if not measured yet. */
     [[nodiscard]] std::optional<millis> roundTripTo(session_id session) const;
 
-    /** Whether the session has had one request so far. */
-    [[nodiscard]] bool isNew(session_id session) const;
+    /** Whether the current request is the first one of the session. */
+    [[nodiscard]] bool isFirstRequest(session_id session) const;
 
-    /** @return IP number of the session's caller; empty if the connection is gone. */
+    /** @return the IP address of the session's caller; empty if the connection is closed. */
     [[nodiscard]] std::string addressOf(session_id session) const;
 
-    /** Takes no further connections. */
+    /** Accepts no further connections. */
     void stopListening();
 
-    /** Closes connections on which no request is under way. */
+    /** Closes connections on which no request is in progress. */
     void closeIdle();
 
     [[nodiscard]] std::size_t sessions() const
@@ -87,7 +86,7 @@
 
     boost::asio::io_context &m_reactor;
     request_listener &m_listener;
-    fault_writer m_writeFault;
+    read_error_writer m_writeReadError;
     boost::asio::ip::tcp::acceptor m_acceptor;
     boost::asio::steady_timer m_sweepTimer;
     caller_limits m_limits;
--- a/programs/chivelockd/gateway/engine_settings.cpp
+++ b/programs/chivelockd/gateway/engine_settings.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// A leaf request costs some 60 microseconds of a core, all included: a core does a hundred in 6 ms, beside leafs that
-// take 4 to 15 ms. Handing work out pays from about eight requests on.
+// A leaf request costs about 60 microseconds of CPU time in total: one core processes a hundred in 6 ms, while leafs
+// take 4 to 15 ms to answer. Delegating work to helpers pays off from about eight requests on.
 constexpr double shardsPerCore = 100;
-constexpr std::size_t leastShardsAtOnce = 8;
+constexpr std::size_t minShardsAtOnce = 8;
 
-// From deciding to the answer's last byte on its way: part of it is work, half a millisecond of a core for the merged
-// answer of some hundred shards behind whatever the VM is doing.
-constexpr millis leastAnswerMargin(3);
-constexpr millis answerWork(0.5);
+// Time from the decision to answer until the last byte of the answer is sent. Part of it is CPU time: half a
+// millisecond of a core for the merged answer of about a hundred shards, queued behind whatever else the VM is doing.
+constexpr millis minAnswerMargin(3);
+constexpr millis answerCpuTime(0.5);
 
 } // namespace
 
@@ -27,12 +27,12 @@
     settings.retryWindow = from.retryWindow;
     settings.drainLimit = from.drainLimit;
     settings.callerRoundTrip = from.callerRoundTrip;
-    settings.answerMargin = leastAnswerMargin + answerWork * (1 / from.cpuShare);
-    settings.shardsAtOnce = std::max(leastShardsAtOnce, static_cast<std::size_t>(from.cpuShare * shardsPerCore));
+    settings.answerMargin = minAnswerMargin + answerCpuTime * (1 / from.cpuShare);
+    settings.shardsAtOnce = std::max(minShardsAtOnce, static_cast<std::size_t>(from.cpuShare * shardsPerCore));
     settings.quarantine.hold = from.quarantineHold;
     settings.quarantine.capacity = from.quarantineEntries;
-    constexpr double holdShare = 0.73; // of the drain limit; the rest is for the store's word to arrive
-    settings.removalHold = from.drainLimit * holdShare;
+    constexpr double removalHoldShare = 0.73; // of the drain limit; the rest is left for the store's update to arrive
+    settings.removalHold = from.drainLimit * removalHoldShare;
     return settings;
 }
 
--- a/programs/chivelockd/gateway/engine_settings.h
+++ b/programs/chivelockd/gateway/engine_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file What the decisions are told, from what the process is told. */
+/** @file Derives the settings of the gateway engine from the settings of the process. */
 
 #include <gateway/gateway.h>
 #include <settings/settings.h>
--- a/programs/chivelockd/gateway/gateway_delegation.cpp
+++ b/programs/chivelockd/gateway/gateway_delegation.cpp
@@ -1,8 +1,8 @@
-/** @file The gateway's side of work that one VM does for another. */
+/** @file The gateway's handling of work that one VM delegates to another. */
 
 #include "gateway_service.h"
 
-#include "pending.h"
+#include "pending_request.h"
 
 #include <algorithm>
 
@@ -10,11 +10,11 @@
 
 void gateway_service::perform(delegate_action action)
 {
-    const auto found = m_pending.find(action.exchange);
-    if (found == m_pending.end()) {
+    const auto found = m_pendingRequests.find(action.exchange);
+    if (found == m_pendingRequests.end()) {
         return;
     }
-    m_counts.handedOut += 1;
+    m_counts.delegationsSent += 1;
     delegate_request request;
     request.id = action.id;
     request.requestId = found->second.requestId;
@@ -22,7 +22,7 @@
     request.afterTime = found->second.text->afterTime;
     request.toHead = found->second.toHead;
     request.work = std::move(action.work);
-    if (!m_helperLinks->ask(action.helper, request)) {
+    if (!m_helperLinks->delegate(action.helper, request)) {
         m_engine.onHelperLost(action.helper, m_clock.now());
     }
 }
@@ -34,19 +34,19 @@
 
 void gateway_service::perform(progress_action action)
 {
-    const auto found = m_pending.find(action.exchange);
-    if (found == m_pending.end() || !found->second.asker) {
+    const auto found = m_pendingRequests.find(action.exchange);
+    if (found == m_pendingRequests.end() || !found->second.delegator) {
         return;
     }
-    const asked_work asker = *found->second.asker;
+    const delegation_key delegator = *found->second.delegator;
     if (action.progress.last) {
-        m_askedWork.erase(asker);
-        m_pending.erase(found);
+        m_delegatedExchanges.erase(delegator);
+        m_pendingRequests.erase(found);
     }
-    m_helperLinks->tellProgress(asker.first, {asker.second, std::move(action.progress)});
+    m_helperLinks->sendProgress(delegator.first, {delegator.second, std::move(action.progress)});
 }
 
-void gateway_service::onHelpers(std::vector<helper_vm> helpers, std::size_t ownRank)
+void gateway_service::onHelpersChanged(std::vector<helper_vm> helpers, std::size_t ownRank)
 {
     m_engine.setHelpers(std::move(helpers), ownRank);
 }
@@ -63,35 +63,35 @@
     flush();
 }
 
-void gateway_service::onDelegated(link_id from, delegate_request request)
+void gateway_service::onDelegatedRequest(link_id from, delegate_request request)
 {
     const millis now = m_clock.now();
-    if (m_askedWork.contains({from, request.id})) {
+    if (m_delegatedExchanges.contains({from, request.id})) {
         logEvent(
             log_level::Warning, "work_asked_twice", {{"id", request.requestId}, {"outcome", std::string("ignored")}});
         return;
     }
-    m_counts.takenIn += 1;
+    m_counts.delegationsAccepted += 1;
     const exchange_id id = m_engine.arriveDelegated(request.requestId, request.work, now);
-    pending &kept = m_pending[id];
-    kept.asker = asked_work(from, request.id);
-    kept.requestId = std::move(request.requestId);
-    kept.toHead = request.toHead;
-    kept.text = std::make_shared<platform::leaf_request_text>(
+    pending_request &added = m_pendingRequests[id];
+    added.delegator = delegation_key(from, request.id);
+    added.requestId = std::move(request.requestId);
+    added.toHead = request.toHead;
+    added.text = std::make_shared<platform::leaf_request_text>(
         platform::leaf_request_text {std::move(request.beforeTime), std::move(request.afterTime)});
-    m_askedWork[*kept.asker] = id;
+    m_delegatedExchanges[*added.delegator] = id;
     flush();
 }
 
-void gateway_service::onDelegatedCancelled(link_id from, const delegate_cancel &cancel)
+void gateway_service::onDelegatedCancel(link_id from, const delegate_cancel &cancel)
 {
-    const auto found = m_askedWork.find({from, cancel.id});
-    if (found == m_askedWork.end()) {
+    const auto found = m_delegatedExchanges.find({from, cancel.id});
+    if (found == m_delegatedExchanges.end()) {
         return;
     }
     const exchange_id exchange = found->second;
-    m_askedWork.erase(found);
-    m_pending.erase(exchange);
+    m_delegatedExchanges.erase(found);
+    m_pendingRequests.erase(exchange);
     if (cancel.survived) {
         m_engine.onSurvived(exchange);
     }
@@ -103,15 +103,15 @@
     flush();
 }
 
-void gateway_service::onAskerLost(link_id from)
+void gateway_service::onDelegatorLost(link_id from)
 {
     std::vector<delegation_id> lost;
-    for (const auto &[work, exchange] : m_askedWork) {
+    for (const auto &[work, exchange] : m_delegatedExchanges) {
         if (work.first == from) {
             lost.push_back(work.second);
         }
     }
-    std::ranges::for_each(lost, [&](delegation_id id) { onDelegatedCancelled(from, {id, true, false}); });
+    std::ranges::for_each(lost, [&](delegation_id id) { onDelegatedCancel(from, {id, true, false}); });
 }
 
 } // namespace chivelock
--- a/programs/chivelockd/gateway/gateway_metrics.cpp
+++ b/programs/chivelockd/gateway/gateway_metrics.cpp
@@ -1,22 +1,23 @@
-/** @file What the gateway tells of itself: the page of metrics, and the line on bytes between VMs. */
+/** @file The gateway's metrics page, and the log line with the traffic between VMs. */
 
 #include "gateway_service.h"
 
 namespace chivelock {
 
-/** Bytes so far, as own zone/other zones/unknown: a process that is killed has told most of them before. */
-void gateway_service::logTraffic()
+/** Logs the bytes sent so far, as own zone/other zones/unknown zone. Periodic lines keep most of the counts of a
+ * process that is killed. */
+void gateway_service::logPeerTraffic()
 {
     logEvent(log_level::Info,
              "peer_traffic",
              {{"to_other_zones", m_traffic.bytesToOtherZones()},
-              {"whole_documents", m_traffic.bytesOf(peer_message_kind::WholeDocuments)},
+              {"whole_documents", m_traffic.bytesOf(peer_message_kind::FullDocuments)},
               {"document_changes", m_traffic.bytesOf(peer_message_kind::DocumentChanges)},
               {"fleet_state", m_traffic.bytesOf(peer_message_kind::FleetState)},
               {"fleet_members", m_traffic.bytesOf(peer_message_kind::FleetMembers)},
               {"leaf_reports", m_traffic.bytesOf(peer_message_kind::LeafReports)},
-              {"request_news", m_traffic.bytesOf(peer_message_kind::RequestNews)},
-              {"handed_work", m_traffic.bytesOf(peer_message_kind::HandedWork)},
+              {"request_news", m_traffic.bytesOf(peer_message_kind::RequestEvidence)},
+              {"handed_work", m_traffic.bytesOf(peer_message_kind::DelegatedWork)},
               {"work_progress", m_traffic.bytesOf(peer_message_kind::WorkProgress)}});
 }
 
@@ -29,7 +30,10 @@
         {"chivelock_gateway_partial_total", "Merged answers with shards missing.", number(m_counts.partial), {}},
         {"chivelock_gateway_refused_total", "Requests that were not run.", number(m_counts.refused), {}},
         {"chivelock_gateway_failed_total", "Requests given up that may have run.", number(m_counts.failed), {}},
-        {"chivelock_gateway_callers_left_total", "Callers that left unanswered.", number(m_counts.callersLeft), {}},
+        {"chivelock_gateway_callers_left_total",
+         "Callers that left unanswered.",
+         number(m_counts.disconnectedCallers),
+         {}},
         {"chivelock_gateway_hedges_total", "Second requests to silent shards.", number(m_counts.hedges), {}},
         {"chivelock_gateway_retries_total", "Requests sent again after a failure.", number(m_counts.retries), {}},
         {"chivelock_gateway_second_sends_handed_total",
@@ -44,12 +48,18 @@
          "Requests under which leafs ended.",
          number(m_engine.requests().size()),
          {}},
-        {"chivelock_gateway_standstills_total", "Times this process stood still.", number(m_counts.standstills), {}},
+        {"chivelock_gateway_standstills_total", "Times this process stood still.", number(m_counts.processPauses), {}},
         {"chivelock_leaf_sends_total", "Requests to leafs.", number(m_pool->counts().sent), {}},
         {"chivelock_leaf_connections_opened_total", "New connections.", number(m_pool->counts().opened), {}},
         {"chivelock_leaf_stray_answers_total", "Answers to other requests.", number(m_pool->counts().strayAnswers), {}},
-        {"chivelock_work_handed_out_total", "Shards of a request given to another VM.", number(m_counts.handedOut), {}},
-        {"chivelock_work_taken_in_total", "Shards of a request taken for another VM.", number(m_counts.takenIn), {}},
+        {"chivelock_work_handed_out_total",
+         "Shards of a request given to another VM.",
+         number(m_counts.delegationsSent),
+         {}},
+        {"chivelock_work_taken_in_total",
+         "Shards of a request taken for another VM.",
+         number(m_counts.delegationsAccepted),
+         {}},
         {"chivelock_store_calls_total", "Calls to the store.", number(m_feed->storeCalls()), {}},
         {"chivelock_callers", "Open connections of callers.", number(m_callers->sessions()), {}},
         {"chivelock_exchanges", "Requests under way.", number(m_engine.openExchanges()), {}},
--- a/programs/chivelockd/gateway/gateway_service.cpp
+++ b/programs/chivelockd/gateway/gateway_service.cpp
@@ -1,7 +1,7 @@
 #include "gateway_service.h"
 
 #include "engine_settings.h"
-#include "pending.h"
+#include "pending_request.h"
 #include "status_pages.h"
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -19,16 +19,19 @@
 
 namespace {
 
-constexpr millis housekeepingInterval(500); // expiry of leafs and notice of standstills need no more
-constexpr millis trafficLineInterval(10000); // coarse enough to cost nothing, fine enough to see what one trouble sent
-constexpr millis standstillGap(300); // a timer is never that late on a VM that merely is busy
-constexpr millis longStandstill(1000); // leafs close idle connections meanwhile
+constexpr millis housekeepingInterval(500); // often enough for the expiry of leafs and the detection of process pauses
 
-/** What HTTP has for a client to say who it is. */
-std::string credentialsIn(const http_headers &headers)
+// Coarse enough to cost nothing, fine enough to show the traffic of a single incident.
+constexpr millis trafficLogInterval(10000);
+
+constexpr millis minProcessPause(300); // a busy VM never delays a timer this much
+constexpr millis longProcessPause(1000); // leafs may have closed idle connections meanwhile
+
+/** @return the header values by which an HTTP client identifies itself. */
+std::string credentialsFrom(const http_headers &headers)
 {
     std::string credentials(findHeader(headers, "Authorization"));
-    credentials.push_back('\n'); // in no header's value
+    credentials.push_back('\n'); // separator: never occurs in a header value
     return credentials.append(findHeader(headers, "Cookie"));
 }
 
@@ -40,7 +43,7 @@
     , m_engine(engineSettings(m_settings), std::hash<std::string>()(m_settings.vmName))
     , m_traffic(m_settings.zone)
     , m_dueTimer(m_reactor)
-    , m_houseTimer(m_reactor)
+    , m_housekeepingTimer(m_reactor)
     , m_stopTimer(m_reactor)
     , m_finishedFd(eventfd(0, EFD_CLOEXEC))
 {
@@ -59,7 +62,7 @@
 
 void gateway_service::connect(kernel &services)
 {
-    (void)services; // it works with no other service
+    (void)services; // the gateway uses no other service
 }
 
 int gateway_service::finishedFd() const
@@ -72,7 +75,7 @@
     if (auto opened = open(); !opened) {
         return opened;
     }
-    housekeep();
+    runHousekeeping();
     m_thread = std::thread([this] {
         const auto work = asio::make_work_guard(m_reactor);
         m_reactor.run();
@@ -83,12 +86,12 @@
 tl::expected<void, kernel_error> gateway_service::open()
 {
     m_pool = std::make_unique<leaf_pool>(m_reactor, *this);
-    m_callers = std::make_unique<caller_server>(m_reactor, *this, writeFaultAnswer);
+    m_callers = std::make_unique<caller_server>(m_reactor, *this, writeReadErrorAnswer);
     m_callers->setLimits({}, m_settings.maxConnections);
     m_pages = std::make_unique<status_pages>(m_reactor, *this);
     m_feed = std::make_unique<store_feed>(m_reactor, m_settings, m_traffic, *this);
-    helper_settings helping {m_settings.peers.address, m_settings.helperPort, m_settings.zone};
-    m_helperLinks = std::make_unique<helper_links>(m_reactor, std::move(helping), m_traffic, *this);
+    helper_settings helperLinkSettings {m_settings.peers.address, m_settings.helperPort, m_settings.zone};
+    m_helperLinks = std::make_unique<helper_links>(m_reactor, std::move(helperLinkSettings), m_traffic, *this);
     error_code error = m_callers->listen(m_settings.callers.address, m_settings.callers.port);
     if (!error) {
         error = m_pages->readiness().listen(m_settings.readiness.address, m_settings.readiness.port);
@@ -103,7 +106,8 @@
         error = m_feed->start();
     }
     if (error) {
-        return tl::unexpected(kernel_error {std::string(serviceName), "can't listen: " + error.message()});
+        return tl::unexpected(
+            kernel_error {std::string(serviceName), "could not listen at a configured address: " + error.message()});
     }
     return {};
 }
@@ -129,35 +133,35 @@
             session, platform::writeOwnAnswer(badRequest, "no_request_id", std::nullopt, m_stopping), m_stopping);
         return;
     }
-    caller_request asked;
-    asked.id = marks.requestId;
-    asked.host = findHeader(request.headers, "Host");
-    asked.target = request.target;
-    asked.patience = marks.patience;
-    asked.roundTrip = m_callers->roundTripTo(session);
-    asked.newConnection = m_callers->isNew(session);
-    const std::string caller = credentialsIn(request.headers);
-    asked.key = fingerprintOf({caller, asked.host, request.method, request.target, request.body});
-    const exchange_id id = m_engine.arrive(asked, now);
-    pending &kept = m_pending[id];
-    kept.session = session;
-    kept.requestId = std::move(marks.requestId);
-    kept.toHead = request.method == "HEAD";
-    kept.text = std::make_shared<platform::leaf_request_text>(platform::writeLeafRequest(request));
-    m_bySession[session] = id;
+    caller_request engineRequest;
+    engineRequest.id = marks.requestId;
+    engineRequest.host = findHeader(request.headers, "Host");
+    engineRequest.target = request.target;
+    engineRequest.patience = marks.patience;
+    engineRequest.roundTrip = m_callers->roundTripTo(session);
+    engineRequest.newConnection = m_callers->isFirstRequest(session);
+    const std::string caller = credentialsFrom(request.headers);
+    engineRequest.key = fingerprintOf({caller, engineRequest.host, request.method, request.target, request.body});
+    const exchange_id id = m_engine.arrive(engineRequest, now);
+    pending_request &added = m_pendingRequests[id];
+    added.session = session;
+    added.requestId = std::move(marks.requestId);
+    added.toHead = request.method == "HEAD";
+    added.text = std::make_shared<platform::leaf_request_text>(platform::writeLeafRequest(request));
+    m_exchangeBySession[session] = id;
     flush();
 }
 
 void gateway_service::onCallerLeft(session_id session)
 {
-    const auto found = m_bySession.find(session);
-    if (found == m_bySession.end()) {
+    const auto found = m_exchangeBySession.find(session);
+    if (found == m_exchangeBySession.end()) {
         return;
     }
-    m_counts.callersLeft += 1;
+    m_counts.disconnectedCallers += 1;
     const exchange_id id = found->second;
-    m_bySession.erase(found);
-    m_pending.erase(id);
+    m_exchangeBySession.erase(found);
+    m_pendingRequests.erase(id);
     m_engine.onCallerLeft(id, m_clock.now());
     flush();
 }
@@ -181,16 +185,16 @@
             std::visit([this](auto &one) { perform(std::move(one)); }, action);
         }
     }
-    if (const std::vector<request_evidence> news = m_engine.takeRequestNews(); !news.empty()) {
-        m_feed->tellRequests(news);
+    if (const std::vector<request_evidence> evidence = m_engine.takeRequestNews(); !evidence.empty()) {
+        m_feed->publishRequestEvidence(evidence);
     }
-    armTimer();
+    armDueTimer();
 }
 
 void gateway_service::perform(send_action action)
 {
-    const auto found = m_pending.find(action.exchange);
-    if (found == m_pending.end()) {
+    const auto found = m_pendingRequests.find(action.exchange);
+    if (found == m_pendingRequests.end()) {
         return;
     }
     leaf_message message;
@@ -211,13 +215,13 @@
 
 void gateway_service::perform(const answer_action &action)
 {
-    const auto found = m_pending.find(action.exchange);
-    if (found == m_pending.end()) {
+    const auto found = m_pendingRequests.find(action.exchange);
+    if (found == m_pendingRequests.end()) {
         return;
     }
     const session_id session = found->second.session;
-    m_pending.erase(found);
-    m_bySession.erase(session);
+    m_pendingRequests.erase(found);
+    m_exchangeBySession.erase(session);
     m_callers->reply(session, platform::writeCallerAnswer(action, m_stopping), m_stopping);
     m_counts.hedges += action.hedges;
     m_counts.retries += action.retries;
@@ -276,77 +280,78 @@
               {"more", std::uint64_t {action.more}}});
 }
 
-/** The request itself is named once: the lines of its attempts bear the key alone. */
+/** Logs the request line only here; the log lines of the attempts contain just the key. */
 void gateway_service::perform(const verdict_action &action)
 {
-    constexpr std::size_t mostText = 200; // enough for a path; what callers send must not fill the log
-    const auto found = m_pending.find(action.exchange);
+    constexpr std::size_t maxRequestTextBytes = 200; // enough for a path, without letting callers fill the log
+    const auto found = m_pendingRequests.find(action.exchange);
     std::string text;
-    if (found != m_pending.end()) {
-        text =
-            found->second.text->beforeTime.substr(0, std::min(found->second.text->beforeTime.find("\r\n"), mostText));
+    if (found != m_pendingRequests.end()) {
+        text = found->second.text->beforeTime.substr(
+            0, std::min(found->second.text->beforeTime.find("\r\n"), maxRequestTextBytes));
     }
-    logEvent(log_level::Warning,
-             "request_verdict",
-             {{"key", toString(action.key)},
-              {"outcome", std::string(toString(action.standing))},
-              {"leafs", std::uint64_t {action.leafs}},
-              {"attempts", std::uint64_t {action.attempts}},
-              {"held_ms", action.heldFor.ceiled()},
-              {"told_by", std::string("self")},
-              {"caller", found != m_pending.end() ? m_callers->addressOf(found->second.session) : std::string()},
-              {"request", text}});
+    logEvent(
+        log_level::Warning,
+        "request_verdict",
+        {{"key", toString(action.key)},
+         {"outcome", std::string(toString(action.standing))},
+         {"leafs", std::uint64_t {action.leafs}},
+         {"attempts", std::uint64_t {action.attempts}},
+         {"held_ms", action.heldFor.ceiled()},
+         {"told_by", std::string("self")},
+         {"caller", found != m_pendingRequests.end() ? m_callers->addressOf(found->second.session) : std::string()},
+         {"request", text}});
 }
 
-void gateway_service::armTimer()
+void gateway_service::armDueTimer()
 {
     const millis due = m_engine.nextDue();
-    if (due >= m_armedFor) {
-        return; // it fires no later than needed
+    if (due >= m_dueTimerExpiry) {
+        return; // the timer fires early enough already
     }
-    m_armedFor = due;
+    m_dueTimerExpiry = due;
     const millis wait = std::max(due - m_clock.now(), millis());
     m_dueTimer.expires_after(std::chrono::microseconds(wait.micros()));
-    m_dueTimer.async_wait([this](const error_code &stopped) {
-        if (stopped) {
+    m_dueTimer.async_wait([this](const error_code &timerError) {
+        if (timerError) {
             return;
         }
-        m_armedFor = millis::never();
+        m_dueTimerExpiry = millis::never();
         m_engine.advance(m_clock.now());
         flush();
     });
 }
 
-void gateway_service::housekeep()
+void gateway_service::runHousekeeping()
 {
     const millis now = m_clock.now();
-    if (m_nextHousekeeping > millis() && now - m_nextHousekeeping > standstillGap) {
-        noticeStandstill(now);
+    if (m_nextHousekeeping > millis() && now - m_nextHousekeeping > minProcessPause) {
+        handleProcessPause(now);
     }
     m_engine.advance(now);
     flush();
-    if (now >= m_nextTrafficLine) {
-        m_nextTrafficLine = now + trafficLineInterval;
-        logTraffic();
+    if (now >= m_nextTrafficLog) {
+        m_nextTrafficLog = now + trafficLogInterval;
+        logPeerTraffic();
     }
     m_nextHousekeeping = now + housekeepingInterval;
-    m_houseTimer.expires_after(std::chrono::milliseconds(housekeepingInterval.ceiled()));
-    m_houseTimer.async_wait([this](const error_code &stopped) {
-        if (!stopped) {
-            housekeep();
+    m_housekeepingTimer.expires_after(std::chrono::milliseconds(housekeepingInterval.ceiled()));
+    m_housekeepingTimer.async_wait([this](const error_code &timerError) {
+        if (!timerError) {
+            runHousekeeping();
         }
     });
 }
 
-void gateway_service::noticeStandstill(millis now)
+void gateway_service::handleProcessPause(millis now)
 {
     const millis gap = now - m_nextHousekeeping;
-    m_counts.standstills += 1;
+    m_counts.processPauses += 1;
     logEvent(log_level::Warning, "stood_still", {{"gap_ms", gap.ceiled()}, {"outcome", std::string("ask_anew")}});
     m_engine.onStandstill(gap);
-    if (gap > longStandstill) {
+    if (gap > longProcessPause) {
         m_pool->closeIdle();
-        m_feed->refresh();
+        m_feed->reconnect();
     }
 }
 
--- a/programs/chivelockd/gateway/gateway_service.h
+++ b/programs/chivelockd/gateway/gateway_service.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * The gateway's data path on one reactor thread: callers, decisions, leafs and the platform's store. A ring between
- * threads would cost two wake-ups for each leaf request on a VM with a quarter of a core.
+ * The gateway's data path: callers, the engine, leafs and the platform's store share one reactor thread. A ring buffer
+ * between threads would cost two wake-ups for each leaf request, too much for a VM with a quarter of a core.
  */
 
 #include "caller_server.h"
@@ -43,36 +43,36 @@
     [[nodiscard]] tl::expected<void, kernel_error> start() override;
     void stop() override;
 
-    /** Begins a planned stop; any thread. */
+    /** Begins a planned stop. May be called from any thread. */
     void beginStop();
 
-    /** Takes what may change while the process runs; addresses stay. Any thread. */
+    /** Applies the settings that may change at run time; addresses keep their values. May be called from any thread. */
     void changeSettings(gateway_daemon_settings settings);
 
-    /** Readable once a planned stop is complete. */
+    /** @return a descriptor that becomes readable once a planned stop is complete. */
     [[nodiscard]] int finishedFd() const;
 
 private:
-    struct pending;
-    using asked_work = std::pair<link_id, delegation_id>;
+    struct pending_request;
+    using delegation_key = std::pair<link_id, delegation_id>;
 
     void onRequest(session_id session, http_request request) override;
     void onCallerLeft(session_id session) override;
     void onLeafReply(send_id id, gateway_reply reply) override;
     void onLeafFailure(send_id id, send_failure failure) override;
-    void onStoreNews(std::string_view prefix, const std::vector<store_item> &items) override;
+    void onStoreItems(std::string_view prefix, const std::vector<store_item> &items) override;
     void onFleetState(const fleet_state &state) override;
     void onFleetMembers(const std::vector<fleet_member> &members) override;
     void onLeafReports(const std::vector<leaf_report> &reports) override;
     [[nodiscard]] std::vector<leaf_report> takeLeafReports() override;
-    [[nodiscard]] std::vector<request_evidence> onRequestNews(const std::vector<request_evidence> &news) override;
-    [[nodiscard]] std::vector<request_evidence> allRequests() override;
-    void onHelpers(std::vector<helper_vm> helpers, std::size_t ownRank) override;
+    [[nodiscard]] std::vector<request_evidence> onRequestNews(const std::vector<request_evidence> &evidence) override;
+    [[nodiscard]] std::vector<request_evidence> allRequestEvidence() override;
+    void onHelpersChanged(std::vector<helper_vm> helpers, std::size_t ownRank) override;
     void onHelperLost(const std::string &address) override;
     void onProgress(delegation_id id, delegated_progress progress) override;
-    void onDelegated(link_id from, delegate_request request) override;
-    void onDelegatedCancelled(link_id from, const delegate_cancel &cancel) override;
-    void onAskerLost(link_id from) override;
+    void onDelegatedRequest(link_id from, delegate_request request) override;
+    void onDelegatedCancel(link_id from, const delegate_cancel &cancel) override;
+    void onDelegatorLost(link_id from) override;
 
     [[nodiscard]] tl::expected<void, kernel_error> open();
     void flush();
@@ -85,17 +85,17 @@
     void perform(delegate_action action);
     void perform(const delegate_cancel_action &action);
     void perform(progress_action action);
-    void armTimer();
-    void housekeep();
-    void noticeStandstill(millis now);
+    void armDueTimer();
+    void runHousekeeping();
+    void handleProcessPause(millis now);
     void applyLeafEvents(const std::vector<store_item> &items);
-    bool applyLeafEvent(const store_item &item, bool logged);
+    bool applyLeafEvent(const store_item &item, bool shouldLog);
     void applyOperatorKeys(const std::vector<store_item> &items);
-    void applyEmptiedZone(const zone_name &zone, const store_item &item);
+    void applyZoneDrain(const zone_name &zone, const store_item &item);
     void applyConfig(const store_item &item);
     void continueStop();
-    void logTraffic();
-    [[nodiscard]] bool answerReadiness() override;
+    void logPeerTraffic();
+    [[nodiscard]] bool answerReadinessProbe() override;
     [[nodiscard]] std::string metricsPage() const override;
 
     gateway_daemon_settings m_settings;
@@ -109,19 +109,19 @@
     std::unique_ptr<store_feed> m_feed;
     std::unique_ptr<helper_links> m_helperLinks;
     boost::asio::steady_timer m_dueTimer;
-    boost::asio::steady_timer m_houseTimer;
+    boost::asio::steady_timer m_housekeepingTimer;
     boost::asio::steady_timer m_stopTimer;
-    millis m_armedFor = millis::never();
+    millis m_dueTimerExpiry = millis::never();
     millis m_nextHousekeeping;
-    millis m_nextTrafficLine;
-    std::unordered_map<exchange_id, pending> m_pending;
-    std::unordered_map<session_id, exchange_id> m_bySession;
-    std::map<asked_work, exchange_id> m_askedWork; ///< of other VMs, in hand here
-    bool m_leafsKnown = false;
+    millis m_nextTrafficLog;
+    std::unordered_map<exchange_id, pending_request> m_pendingRequests;
+    std::unordered_map<session_id, exchange_id> m_exchangeBySession;
+    std::map<delegation_key, exchange_id> m_delegatedExchanges; ///< for work that other VMs delegated
+    bool m_leafsReceived = false;
     bool m_stopping = false;
     bool m_closing = false;
     millis m_stopBegan;
-    unsigned m_notReadyTold = 0; ///< how often the platform was told that this VM stops
+    unsigned m_notReadyAnswers = 0; ///< readiness probes answered "not ready" since the stop began
     bool m_finished = false;
     int m_finishedFd;
     lookup_metrics m_latencies;
@@ -134,10 +134,10 @@
         std::uint64_t quarantined = 0;
         std::uint64_t failed = 0;
         std::uint64_t partial = 0;
-        std::uint64_t callersLeft = 0;
-        std::uint64_t standstills = 0;
-        std::uint64_t handedOut = 0;
-        std::uint64_t takenIn = 0;
+        std::uint64_t disconnectedCallers = 0;
+        std::uint64_t processPauses = 0;
+        std::uint64_t delegationsSent = 0;
+        std::uint64_t delegationsAccepted = 0;
     } m_counts;
     std::thread m_thread;
 };
--- a/programs/chivelockd/gateway/gateway_stop.cpp
+++ b/programs/chivelockd/gateway/gateway_stop.cpp
@@ -1,9 +1,9 @@
-/** @file Changes of settings and the planned stop. */
+/** @file Applies changed settings, and performs the planned stop. */
 
 #include "gateway_service.h"
 
 #include "engine_settings.h"
-#include "pending.h"
+#include "pending_request.h"
 
 #include <boost/asio/post.hpp>
 
@@ -16,17 +16,19 @@
 
 namespace {
 
-constexpr millis stopLook(50);
-constexpr millis closeBeforeGrace(1500); // for what was read last to be answered before the process is killed
-constexpr millis endBeforeGrace(500); // for the threads to end and the last lines to be written, on a busy VM
-constexpr unsigned noticesToEnd = 3; // the platform takes a VM out after two; one more in case one crossed the signal
+constexpr millis stopPollInterval(50);
+constexpr millis closeBeforeGraceEnd(1500); // time to answer the last requests before the process is killed
+constexpr millis exitBeforeGraceEnd(500); // time to end the threads and write the last log lines on a busy VM
+
+// The platform removes a VM after two; one more in case a probe crossed with the stop signal.
+constexpr unsigned notReadyAnswersBeforeClose = 3;
 
 } // namespace
 
-bool gateway_service::answerReadiness()
+bool gateway_service::answerReadinessProbe()
 {
-    m_notReadyTold += m_stopping ? 1 : 0;
-    return !m_stopping && m_leafsKnown && m_engine.config() != nullptr;
+    m_notReadyAnswers += m_stopping ? 1 : 0;
+    return !m_stopping && m_leafsReceived && m_engine.config() != nullptr;
 }
 
 void gateway_service::beginStop()
@@ -56,14 +58,15 @@
 }
 
 /**
- * New callers keep coming until the platform has noticed that this VM is not ready; they are served. Connections that
- * stay open are closed late, so that no request crosses the close that could still have been answered.
+ * Advances the planned stop. New callers connect until the platform has noticed that this VM is not ready, and they are
+ * served. Connections that stay open are closed late, so that a request that could still have been answered does not
+ * cross with the close.
  */
 void gateway_service::continueStop()
 {
     const millis spent = m_clock.now() - m_stopBegan;
-    const bool noticed = m_notReadyTold >= noticesToEnd && m_callers->sessions() == 0;
-    if (!m_closing && (spent >= m_settings.grace - closeBeforeGrace || noticed)) {
+    const bool platformNoticed = m_notReadyAnswers >= notReadyAnswersBeforeClose && m_callers->sessions() == 0;
+    if (!m_closing && (spent >= m_settings.grace - closeBeforeGraceEnd || platformNoticed)) {
         m_closing = true;
         m_callers->stopListening();
     }
@@ -71,18 +74,18 @@
         m_callers->closeIdle();
     }
     const bool done = m_closing && m_callers->sessions() == 0;
-    if (done || spent >= m_settings.grace - endBeforeGrace) {
-        logTraffic();
+    if (done || spent >= m_settings.grace - exitBeforeGraceEnd) {
+        logPeerTraffic();
         logEvent(log_level::Info,
                  "stopped",
-                 {{"spent_ms", spent.ceiled()}, {"unanswered", std::uint64_t {m_pending.size()}}});
+                 {{"spent_ms", spent.ceiled()}, {"unanswered", std::uint64_t {m_pendingRequests.size()}}});
         const std::uint64_t one = 1;
         (void)!write(m_finishedFd, &one, sizeof one);
         return;
     }
-    m_stopTimer.expires_after(std::chrono::milliseconds(stopLook.ceiled()));
-    m_stopTimer.async_wait([this](const error_code &stopped) {
-        if (!stopped) {
+    m_stopTimer.expires_after(std::chrono::milliseconds(stopPollInterval.ceiled()));
+    m_stopTimer.async_wait([this](const error_code &timerError) {
+        if (!timerError) {
             continueStop();
         }
     });
--- a/programs/chivelockd/gateway/gateway_store.cpp
+++ b/programs/chivelockd/gateway/gateway_store.cpp
@@ -1,4 +1,4 @@
-/** @file What the gateway makes of the store's word. */
+/** @file Applies updates from the store and from other VMs to the gateway. */
 
 #include "addresses.h"
 #include "gateway_service.h"
@@ -7,18 +7,19 @@
 
 namespace chivelock {
 
-void gateway_service::onStoreNews(std::string_view prefix, const std::vector<store_item> &items)
+void gateway_service::onStoreItems(std::string_view prefix, const std::vector<store_item> &items)
 {
     if (prefix == platform::configPrefix) {
         applyOperatorKeys(items);
     } else {
         applyLeafEvents(items);
-        m_leafsKnown = true;
+        m_leafsReceived = true;
     }
     flush();
 }
 
-/** Zones first: with a configuration requests are taken, and none of them may be sent to a zone that is emptied. */
+/** Applies zone drains before the configuration: requests are accepted once there is a configuration, and none of them
+ *  may be sent to a drained zone. */
 void gateway_service::applyOperatorKeys(const std::vector<store_item> &items)
 {
     using enum platform::operator_key::subject;
@@ -26,7 +27,7 @@
     for (const store_item &item : items) {
         const platform::operator_key key = platform::readOperatorKey(item.key);
         if (key.about == EmptiedZone) {
-            applyEmptiedZone(key.zone, item);
+            applyZoneDrain(key.zone, item);
         }
         unknown += key.about == Unknown ? 1 : 0;
     }
@@ -47,8 +48,8 @@
     }
 }
 
-/** What the key holds says nothing: that it is there counts. */
-void gateway_service::applyEmptiedZone(const zone_name &zone, const store_item &item)
+/** A zone is drained while its key exists; the value of the key is ignored. */
+void gateway_service::applyZoneDrain(const zone_name &zone, const store_item &item)
 {
     const bool changed = m_engine.setZoneEmptied(zone, !item.deleted, m_clock.now());
     if (!changed) {
@@ -62,17 +63,18 @@
               {"outcome", std::string("in_force")}});
 }
 
-/** The first contents, and a new set of shards, bring hundreds of leafs at once: a line for each would use up the
- *  second's lines, and those of requests, which an engineer needs more, would be the ones dropped. */
+/** Logs one summary line for many items. The first contents and a new set of shards contain hundreds of leafs: a line
+ * for each would use up the limit of log lines per second, and the more important lines about requests would be
+ * dropped. */
 void gateway_service::applyLeafEvents(const std::vector<store_item> &items)
 {
-    constexpr std::size_t mostSingly = 16; // lines; a few percent of what may be written in a second
-    const bool singly = items.size() <= mostSingly;
+    constexpr std::size_t maxSingleLogLines = 16; // a few percent of the limit of log lines per second
+    const bool logEachLeaf = items.size() <= maxSingleLogLines;
     std::size_t changed = 0;
     for (const store_item &item : items) {
-        changed += applyLeafEvent(item, singly) ? 1 : 0;
+        changed += applyLeafEvent(item, logEachLeaf) ? 1 : 0;
     }
-    if (!singly) {
+    if (!logEachLeaf) {
         logEvent(log_level::Info,
                  "leafs_changed",
                  {{"told", std::uint64_t {items.size()}},
@@ -107,10 +109,10 @@
               {"oldest_ms", (now - oldest.observedAt).ceiled()}});
 }
 
-std::vector<request_evidence> gateway_service::onRequestNews(const std::vector<request_evidence> &news)
+std::vector<request_evidence> gateway_service::onRequestNews(const std::vector<request_evidence> &evidence)
 {
     const millis now = m_clock.now();
-    std::vector<request_evidence> added = m_engine.onRequestNews(news, now);
+    std::vector<request_evidence> added = m_engine.onRequestNews(evidence, now);
     for (const request_evidence &one : added) {
         logEvent(log_level::Warning,
                  "request_verdict",
@@ -121,11 +123,11 @@
                   {"held_ms", m_engine.requests().heldFor(one.key, now).ceiled()},
                   {"told_by", std::string("fleet")}});
     }
-    flush(); // what this VM knows for one of them
+    flush(); // sends what this VM knows about one of these requests
     return added;
 }
 
-std::vector<request_evidence> gateway_service::allRequests()
+std::vector<request_evidence> gateway_service::allRequestEvidence()
 {
     return m_engine.requests().all();
 }
@@ -139,13 +141,13 @@
     }
 }
 
-bool gateway_service::applyLeafEvent(const store_item &item, bool logged)
+bool gateway_service::applyLeafEvent(const store_item &item, bool shouldLog)
 {
     const millis now = m_clock.now();
     const std::string id(platform::leafIdFromKey(item.key));
     if (item.deleted) {
         const bool known = m_engine.leafs().remove(id, now);
-        if (known && logged) {
+        if (known && shouldLog) {
             logEvent(log_level::Info,
                      "leaf_missing",
                      {{"leaf", id},
@@ -157,7 +159,7 @@
     }
     auto entry = platform::decodeLeaf(item.key, item.value);
     if (entry && !parseEndpoint(entry->address)) {
-        entry = tl::unexpected(platform::decode_error {"address is no IP number and port"});
+        entry = tl::unexpected(platform::decode_error {"address is not an IP address with a port"});
     }
     if (!entry) {
         const bool wasInUse = m_engine.leafs().markUnreadable(id);
@@ -170,7 +172,7 @@
         return false;
     }
     const bool changed = m_engine.leafs().put(*entry, now);
-    if (changed && logged) {
+    if (changed && shouldLog) {
         logEvent(log_level::Info,
                  entry->draining ? "leaf_draining" : "leaf_ready",
                  {{"leaf", id},
@@ -197,12 +199,12 @@
     const std::uint64_t version = config->version;
     const std::size_t routes = config->routes.size();
     const caller_limits limits = config->limits;
-    const bool taken = m_engine.applyConfig(*std::move(config));
-    if (taken) {
+    const bool isInForce = m_engine.applyConfig(*std::move(config));
+    if (isInForce) {
         m_callers->setLimits(limits, m_settings.maxConnections);
     }
     logEvent(log_level::Info,
-             taken ? "config_in_force" : "config_not_newer",
+             isInForce ? "config_in_force" : "config_not_newer",
              {{"version", version}, {"routes", std::uint64_t {routes}}, {"revision", item.revision}});
 }
 
--- a/programs/chivelockd/gateway/helper_links.cpp
+++ b/programs/chivelockd/gateway/helper_links.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::size_t helpersInOwnZone = 24; // all of a zone of today's fleets: each has its part of the shards
-constexpr std::size_t helpersInOtherZone = 8; // a part each, of a lookup over a hundred shards
+constexpr std::size_t maxHelpersInOwnZone = 24; // all VMs of a zone in current fleets; each serves a part of the shards
+constexpr std::size_t maxHelpersInOtherZone = 8; // each serves a part of a lookup over a hundred shards
 constexpr millis dialInterval(200);
-constexpr millis firstRedial(300);
-constexpr millis mostRedial(3000);
+constexpr millis firstRedialDelay(300);
+constexpr millis maxRedialDelay(3000);
 
 std::uint64_t rendezvousWeight(std::string_view from, std::string_view to)
 {
@@ -41,7 +41,7 @@
 {
     const boost::system::error_code error = m_mesh.listen(m_settings.address, m_settings.port);
     if (!error) {
-        dialDue();
+        dialDueHelpers();
     }
     return error;
 }
@@ -53,8 +53,8 @@
     m_mesh.close();
 }
 
-/** The first word at once, later ones with the next look: when many start, each word changes the list, and choosing
- *  among 300 VMs takes a small VM some milliseconds. */
+/** The first list is applied at once, later ones by the dial timer. While many VMs start, each message changes the
+ * list, and choosing among 300 VMs takes a small VM some milliseconds. */
 void helper_links::setMembers(const std::vector<fleet_member> &members)
 {
     m_members = members;
@@ -64,8 +64,8 @@
     }
 }
 
-/** Each VM chooses by its own weights, so that all are chosen about equally often and few choices change with one VM.
- */
+/** Chooses by rendezvous hashing: all VMs are chosen about equally often, and few choices change when one VM joins or
+ *  leaves. */
 void helper_links::chooseHelpers()
 {
     m_membersChanged = false;
@@ -79,17 +79,17 @@
         chooseInZone(zone, hosts, wanted);
     }
     std::erase_if(m_helpers, [&](const auto &one) {
-        const bool gone = !wanted.contains(one.first);
-        if (gone && one.second.link != 0) {
-            m_mesh.hangUp(one.second.link);
+        const bool isRemoved = !wanted.contains(one.first);
+        if (isRemoved && one.second.link != 0) {
+            m_mesh.closeLink(one.second.link);
             m_listener.onHelperLost(one.first);
         }
-        return gone;
+        return isRemoved;
     });
-    tellHelpers();
+    notifyHelpersChanged();
 }
 
-/** @param hosts all VMs of the zone, in the order by which each has its rank. */
+/** @param hosts all VMs of the zone, sorted; a VM's position is its rank. */
 void helper_links::chooseInZone(const zone_name &zone,
                                 std::span<const std::string> hosts,
                                 std::set<std::string> &wanted)
@@ -108,7 +108,7 @@
         }
     }
     std::ranges::sort(weighted, std::greater<>());
-    weighted.resize(std::min(weighted.size(), own ? helpersInOwnZone : helpersInOtherZone));
+    weighted.resize(std::min(weighted.size(), own ? maxHelpersInOwnZone : maxHelpersInOtherZone));
     for (const auto &[weight, host] : weighted) {
         const std::string address = host + ":" + std::to_string(m_settings.port);
         wanted.insert(address);
@@ -117,7 +117,7 @@
     }
 }
 
-void helper_links::dialDue()
+void helper_links::dialDueHelpers()
 {
     const millis now = m_clock.now();
     if (m_membersChanged) {
@@ -130,9 +130,9 @@
         }
     }
     m_timer.expires_after(std::chrono::milliseconds(dialInterval.ceiled()));
-    m_timer.async_wait([this](const boost::system::error_code &stopped) {
-        if (!stopped) {
-            dialDue();
+    m_timer.async_wait([this](const boost::system::error_code &timerError) {
+        if (!timerError) {
+            dialDueHelpers();
         }
     });
 }
@@ -148,7 +148,7 @@
     if (found != m_helpers.end()) {
         found->second.open = true;
         found->second.failures = 0;
-        tellHelpers();
+        notifyHelpersChanged();
     }
 }
 
@@ -156,23 +156,24 @@
 {
     const auto found = findByLink(link);
     if (found == m_helpers.end()) {
-        m_listener.onAskerLost(link);
+        m_listener.onDelegatorLost(link);
         return;
     }
     helper &lost = found->second;
     const bool wasOpen = std::exchange(lost.open, false);
     lost.link = 0;
     lost.failures = std::min(lost.failures + 1, 8U);
-    lost.redialAt = m_clock.now() + std::min(firstRedial * static_cast<double>(1U << (lost.failures - 1)), mostRedial);
+    lost.redialAt =
+        m_clock.now() + std::min(firstRedialDelay * static_cast<double>(1U << (lost.failures - 1)), maxRedialDelay);
     if (wasOpen) {
         const std::string address = found->first;
         logEvent(log_level::Info, "helper_link_lost", {{"helper", address}});
-        tellHelpers();
+        notifyHelpersChanged();
         m_listener.onHelperLost(address);
     }
 }
 
-void helper_links::tellHelpers()
+void helper_links::notifyHelpersChanged()
 {
     std::vector<helper_vm> open;
     for (const auto &[address, one] : m_helpers) {
@@ -180,7 +181,7 @@
             open.push_back({address, one.zone, one.rank});
         }
     }
-    m_listener.onHelpers(std::move(open), m_ownRank);
+    m_listener.onHelpersChanged(std::move(open), m_ownRank);
 }
 
 bool helper_links::onLinkFrame(link_id link, std::span<const std::uint8_t> payload)
@@ -190,22 +191,22 @@
         return false;
     }
     if (auto *request = std::get_if<delegate_request>(&*message)) {
-        m_listener.onDelegated(link, std::move(*request));
+        m_listener.onDelegatedRequest(link, std::move(*request));
     } else if (auto *progress = std::get_if<delegate_progress>(&*message)) {
         m_listener.onProgress(progress->id, std::move(progress->progress));
     } else if (const auto *cancelled = std::get_if<delegate_cancel>(&*message)) {
-        m_listener.onDelegatedCancelled(link, *cancelled);
+        m_listener.onDelegatedCancel(link, *cancelled);
     }
     return true;
 }
 
-bool helper_links::ask(const std::string &address, const delegate_request &request)
+bool helper_links::delegate(const std::string &address, const delegate_request &request)
 {
     const auto found = m_helpers.find(address);
     if (found == m_helpers.end() || !found->second.open) {
         return false;
     }
-    send(found->second.link, peer_message_kind::HandedWork, encodeDelegationFrame(request));
+    send(found->second.link, peer_message_kind::DelegatedWork, encodeDelegationFrame(request));
     return true;
 }
 
@@ -213,19 +214,19 @@
 {
     const auto found = m_helpers.find(address);
     if (found != m_helpers.end() && found->second.open) {
-        send(found->second.link, peer_message_kind::HandedWork, encodeDelegationFrame(message));
+        send(found->second.link, peer_message_kind::DelegatedWork, encodeDelegationFrame(message));
     }
 }
 
-void helper_links::tellProgress(link_id asker, const delegate_progress &progress)
+void helper_links::sendProgress(link_id delegator, const delegate_progress &progress)
 {
-    send(asker, peer_message_kind::WorkProgress, encodeDelegationFrame(progress));
+    send(delegator, peer_message_kind::WorkProgress, encodeDelegationFrame(progress));
 }
 
 void helper_links::send(link_id to, peer_message_kind kind, std::string_view frame)
 {
     m_traffic.count(kind, m_mesh.peerOf(to), frame.size());
-    m_mesh.tell(to, frame);
+    m_mesh.sendFrame(to, frame);
 }
 
 } // namespace chivelock
--- a/programs/chivelockd/gateway/helper_links.h
+++ b/programs/chivelockd/gateway/helper_links.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * Links to VMs that ask leafs for this one, and from those for which this one asks. Keeps a few open: some in each
- * zone.
+ * Links to the helpers to which this VM delegates work, and from the VMs that delegate work to it. Keeps links to a
+ * limited number of helpers in each zone open.
  */
 
 #include "peer_mesh.h"
@@ -24,7 +24,7 @@
 
 namespace chivelock {
 
-/** Work of other VMs, and what becomes of own work in their hands. */
+/** Receives delegated work of other VMs, and the progress of work that this VM delegated. */
 class helper_listener
 {
 public:
@@ -33,20 +33,20 @@
     helper_listener &operator=(const helper_listener &) = delete;
     virtual ~helper_listener() = default;
 
-    /** VMs that can be reached now. */
-    virtual void onHelpers(std::vector<helper_vm> helpers, std::size_t ownRank) = 0;
+    /** @param helpers VMs to which a link is open now. @param ownRank see @ref helper_vm::rank. */
+    virtual void onHelpersChanged(std::vector<helper_vm> helpers, std::size_t ownRank) = 0;
     virtual void onHelperLost(const std::string &address) = 0;
     virtual void onProgress(delegation_id id, delegated_progress progress) = 0;
 
-    /** @param from link of the VM that asks; answers go there. */
-    virtual void onDelegated(link_id from, delegate_request request) = 0;
-    virtual void onDelegatedCancelled(link_id from, const delegate_cancel &cancel) = 0;
-    virtual void onAskerLost(link_id from) = 0;
+    /** @param from link of the VM that delegates the work; progress is sent there. */
+    virtual void onDelegatedRequest(link_id from, delegate_request request) = 0;
+    virtual void onDelegatedCancel(link_id from, const delegate_cancel &cancel) = 0;
+    virtual void onDelegatorLost(link_id from) = 0;
 };
 
-/** Where this VM is and listens. */
+/** Address and zone of this VM. */
 struct helper_settings {
-    std::string address; ///< IP number
+    std::string address; ///< IP address
     std::uint16_t port = 0; ///< the same on all VMs
     zone_name zone;
 };
@@ -62,18 +62,18 @@
     [[nodiscard]] boost::system::error_code start();
     void stop();
 
-    /** The fleet as it is known now. */
+    /** Replaces the list of the fleet's VMs, among which helpers are chosen. */
     void setMembers(const std::vector<fleet_member> &members);
 
-    /** @return false if there is no link to the helper. */
-    [[nodiscard]] bool ask(const std::string &address, const delegate_request &request);
+    /** Sends work to a helper. @return false if no link to the helper is open. */
+    [[nodiscard]] bool delegate(const std::string &address, const delegate_request &request);
     void cancel(const std::string &address, const delegate_cancel &message);
-    void tellProgress(link_id asker, const delegate_progress &progress);
+    void sendProgress(link_id delegator, const delegate_progress &progress);
 
 private:
     struct helper {
         zone_name zone;
-        std::size_t rank = 0; ///< among the VMs of its zone
+        std::size_t rank = 0; ///< position among the sorted VMs of its zone
         link_id link = 0;
         bool open = false;
         millis redialAt;
@@ -87,8 +87,8 @@
     [[nodiscard]] std::map<std::string, helper>::iterator findByLink(link_id link);
     void chooseHelpers();
     void chooseInZone(const zone_name &zone, std::span<const std::string> hosts, std::set<std::string> &wanted);
-    void tellHelpers();
-    void dialDue();
+    void notifyHelpersChanged();
+    void dialDueHelpers();
 
     void send(link_id to, peer_message_kind kind, std::string_view frame);
 
@@ -99,9 +99,9 @@
     peer_mesh m_mesh;
     boost::asio::steady_timer m_timer;
     std::vector<fleet_member> m_members; ///< of the fleet
-    bool m_membersChanged = false; ///< since helpers were chosen among them
-    std::size_t m_ownRank = 0; ///< among the VMs of the own zone
-    std::map<std::string, helper> m_helpers; ///< by address with port
+    bool m_membersChanged = false; ///< since helpers were last chosen
+    std::size_t m_ownRank = 0; ///< position among the sorted VMs of the own zone
+    std::map<std::string, helper> m_helpers; ///< chosen helpers, by address with port
     link_id m_nextLink = 1;
 };
 
--- a/programs/chivelockd/gateway/leaf_pool.cpp
+++ b/programs/chivelockd/gateway/leaf_pool.cpp
@@ -20,21 +20,26 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 8192; // the answer of most leafs in one read
-constexpr std::size_t mostBodyBytes = 8 << 20; // far above any answer; bounds what a faulty leaf can make us hold
-constexpr millis
-    connectLimit(250); // some round trips within a region; a lost opening packet is repeated after a second
-constexpr millis idleGuess(4000); // kept without a word from the leaf on how long
-constexpr double idleShare = 0.7; // of the leaf's time: its close and our request must not cross
-constexpr millis onceIdle(500); // for requests that must not run twice: a close that crosses one can't be made good
-constexpr millis confirmLimit(30); // some round trips: the retry waits for it
-constexpr millis
-    aliveFor(200); // a leaf that took a connection is not asked again so soon: full ones reset many at once
-constexpr unsigned mostStrayAnswers = 2; // late second answers on one connection before it is given up
+constexpr std::size_t readBytes = 8192; // holds the complete answer of most leafs
+constexpr std::size_t maxAnswerBodyBytes = 8 << 20; // far above any answer; bounds the memory a faulty leaf can take
+constexpr millis connectLimit(250); // some round trips within a region; a lost SYN is retransmitted only after a second
+constexpr millis defaultIdleLimit(4000); // used if the leaf does not announce its keep-alive time
+constexpr double idleLimitShare = 0.7; // of the leaf's keep-alive time, so that a request does not cross with its close
+
+// At-most-once requests use only connections that were idle for less: a request that crosses with the leaf's close
+// cannot be sent again.
+constexpr millis nonIdempotentIdleLimit(500);
+
+constexpr millis confirmTimeout(30); // some round trips; the retry waits for the confirmation
+
+// A leaf that accepted a connection is not checked again so soon: a full leaf resets many connections at once.
+constexpr millis acceptConfirmationLifetime(200);
+
+constexpr unsigned maxStrayAnswers = 2; // late duplicate answers on one connection before it is closed
 
 } // namespace
 
-/** One connection to one leaf. */
+/** One connection to a leaf. */
 class leaf_pool::connection : public std::enable_shared_from_this<connection>
 {
 public:
@@ -58,8 +63,8 @@
         }
         m_socket.set_option(tcp::no_delay(true), error);
         m_connectTimer.expires_after(std::chrono::milliseconds(connectLimit.ceiled()));
-        m_connectTimer.async_wait([self = shared_from_this()](const error_code &stopped) {
-            if (!stopped && !self->m_connected) {
+        m_connectTimer.async_wait([self = shared_from_this()](const error_code &timerError) {
+            if (!timerError && !self->m_connected) {
                 self->fail(send_failure::NotSent);
             }
         });
@@ -67,43 +72,43 @@
                                [self = shared_from_this()](const error_code &failed) { self->onConnected(failed); });
     }
 
-    void use(leaf_message message)
+    void reuse(leaf_message message)
     {
         m_message = std::move(message);
         write(millis());
     }
 
-    /** Ends without a word to the listener. */
+    /** Closes the connection without notifying the listener. */
     void close()
     {
         m_closed = true;
         m_connectTimer.cancel();
-        error_code ignored; // it is closed in any case
+        error_code ignored; // the socket is closed even if an error is reported
         m_socket.close(ignored);
     }
 
-    /** Ends it while nothing is under way on it. */
+    /** Closes an idle connection. @pre it was removed from the idle connections of the pool. */
     void closeIdle()
     {
         m_message.to->keptConnections -= 1;
         close();
     }
 
-    [[nodiscard]] bool usableFor(const leaf_message &message, millis now) const
+    [[nodiscard]] bool isUsableFor(const leaf_message &message, millis now) const
     {
         const millis idle = now - m_idleSince;
-        return idle < m_keepFor * idleShare && (!message.once || idle < onceIdle);
+        return idle < m_idleLimit * idleLimitShare && (!message.once || idle < nonIdempotentIdleLimit);
     }
 
-    /** Whether the leaf has neither closed it nor sent anything, as far as the kernel knows at this moment. */
-    [[nodiscard]] bool isQuiet()
+    /** Whether the leaf has neither closed the connection nor sent anything, as far as the kernel knows now. */
+    [[nodiscard]] bool isOpenWithoutInput()
     {
         char byte = 0;
         const auto got = ::recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
 
-    /** Whom it leads to. */
+    /** The leaf at the other end. */
     [[nodiscard]] const leaf &peer() const
     {
         return *m_message.to;
@@ -125,20 +130,20 @@
         read();
     }
 
-    /** @param spent time that has passed since the request was handed in. */
+    /** @param spent time since the send was requested; reduces the remaining time given to the leaf. */
     void write(millis spent)
     {
         m_busy = true;
         m_written = false;
-        m_strays = 0;
-        m_reader.expect(m_message.toHead, mostBodyBytes);
+        m_strayCount = 0;
+        m_reader.expect(m_message.toHead, maxAnswerBodyBytes);
         m_output = platform::completeLeafRequest(*m_message.text, m_message.remaining - spent, m_message.to->entry.id);
         m_pool.m_counts.sent += 1;
         asio::async_write(
             m_socket, asio::buffer(m_output), [self = shared_from_this()](const error_code &error, std::size_t count) {
                 self->m_written = !error;
                 if (error && count == 0 && !self->m_confirming) {
-                    self->fail(send_failure::NotSent); // the kernel took no byte, so the leaf got none
+                    self->fail(send_failure::NotSent); // the kernel accepted no byte, so the leaf received none
                 }
             });
     }
@@ -146,7 +151,7 @@
     void read()
     {
         m_socket.async_read_some(
-            asio::buffer(m_chunk),
+            asio::buffer(m_readBuffer),
             [self = shared_from_this()](const error_code &error, std::size_t count) { self->onRead(error, count); });
     }
 
@@ -156,14 +161,14 @@
             return;
         }
         if (error) {
-            onEnd(error);
+            onEndOfStream(error);
             return;
         }
         if (!m_busy) {
-            drop(); // bytes that nobody asked for belong to no request
+            removeIdle(); // unsolicited input belongs to no request
             return;
         }
-        m_input.append(m_chunk.data(), count);
+        m_input.append(m_readBuffer.data(), count);
         const read_state state = m_reader.feed(m_input);
         if (state == read_state::Complete) {
             onAnswer();
@@ -176,15 +181,15 @@
         }
     }
 
-    void onEnd(const error_code &error)
+    void onEndOfStream(const error_code &error)
     {
         if (!m_busy) {
-            drop();
+            removeIdle();
             return;
         }
-        const bool orderly = error == asio::error::eof;
-        if (orderly && m_reader.begun() && m_reader.finish() == read_state::Complete) {
-            m_ended = true;
+        const bool isOrderlyClose = error == asio::error::eof;
+        if (isOrderlyClose && m_reader.begun() && m_reader.finish() == read_state::Complete) {
+            m_endOfStream = true;
             onAnswer();
             return;
         }
@@ -192,21 +197,21 @@
             fail(send_failure::Broken);
             return;
         }
-        confirmEnd();
+        confirmLeafEnded();
     }
 
     /**
-     * A connection ends without an answer because the leaf has ended, or because it is full, has lost the answer or
-     * was cut off for a moment. Only the first says something about the request, and only a new connection tells: a
-     * process that has ended refuses it at once.
+     * Checks whether the leaf has crashed. A connection ends without an answer if the leaf has crashed, but also if the
+     * leaf is full, has lost the answer or was unreachable for a moment. Only a crash says something about the request,
+     * and only a new connection detects it: the host of a process that has ended refuses the connection at once.
      */
-    void confirmEnd()
+    void confirmLeafEnded()
     {
         m_confirming = true;
         error_code error;
         m_socket.close(error);
         const auto endpoint = parseEndpoint(peer().entry.address);
-        if (!endpoint || boot_clock().now() - peer().takesConnectionsAt < aliveFor) {
+        if (!endpoint || boot_clock().now() - peer().takesConnectionsAt < acceptConfirmationLifetime) {
             fail(send_failure::Broken);
             return;
         }
@@ -216,18 +221,18 @@
             return;
         }
         m_pool.m_counts.opened += 1;
-        m_connectTimer.expires_after(std::chrono::milliseconds(confirmLimit.ceiled()));
-        m_connectTimer.async_wait([self = shared_from_this()](const error_code &stopped) {
-            if (!stopped) {
+        m_connectTimer.expires_after(std::chrono::milliseconds(confirmTimeout.ceiled()));
+        m_connectTimer.async_wait([self = shared_from_this()](const error_code &timerError) {
+            if (!timerError) {
                 self->fail(send_failure::Broken);
             }
         });
-        m_socket.async_connect(*endpoint,
-                               [self = shared_from_this()](const error_code &failed) { self->onConfirmed(failed); });
+        m_socket.async_connect(
+            *endpoint, [self = shared_from_this()](const error_code &failed) { self->onConfirmConnected(failed); });
     }
 
-    /** The new connection is kept for the next request: it has cost the leaf a slot for a moment. */
-    void onConfirmed(const error_code &failed)
+    /** Keeps the new connection for the next request, since it already takes up a connection slot of the leaf. */
+    void onConfirmConnected(const error_code &failed)
     {
         if (m_closed) {
             return;
@@ -239,8 +244,8 @@
         }
         const send_id id = m_message.id;
         m_message.to->takesConnectionsAt = boot_clock().now();
-        m_reader.expect(false, mostBodyBytes);
-        m_keepFor = idleGuess;
+        m_reader.expect(false, maxAnswerBodyBytes);
+        m_idleLimit = defaultIdleLimit;
         m_confirming = false;
         m_pool.m_busy.erase(id);
         keepIdle();
@@ -265,9 +270,11 @@
             return;
         }
         const send_id id = m_message.id;
-        m_keepFor = answer.keepAlive.value_or(m_keepFor);
-        // A leaf may answer before it has read the request: the rest of it must not be taken for the next one.
-        const bool reusable = answer.keepsConnection && m_written && m_input.empty() && m_strays == 0 && !m_ended;
+        m_idleLimit = answer.keepAlive.value_or(m_idleLimit);
+        // A leaf may answer before it has read the complete request. Reusing the connection then would make the leaf
+        // read the rest of this request as the next one.
+        const bool reusable =
+            answer.keepsConnection && m_written && m_input.empty() && m_strayCount == 0 && !m_endOfStream;
         const auto self = shared_from_this();
         m_pool.m_busy.erase(id);
         if (reusable) {
@@ -279,16 +286,16 @@
         m_pool.m_listener.onLeafReply(id, std::move(answer.reply));
     }
 
-    /** The late second answer to an earlier request; the one to this request is still to come. */
+    /** Skips a late duplicate answer to an earlier request; the answer to the current request is still to come. */
     void onStray()
     {
-        m_strays += 1;
+        m_strayCount += 1;
         m_pool.m_counts.strayAnswers += 1;
-        if (m_strays > mostStrayAnswers || m_ended) {
+        if (m_strayCount > maxStrayAnswers || m_endOfStream) {
             fail(send_failure::Broken);
             return;
         }
-        m_reader.expect(m_message.toHead, mostBodyBytes);
+        m_reader.expect(m_message.toHead, maxAnswerBodyBytes);
         const read_state state = m_reader.feed(m_input);
         if (state == read_state::Complete) {
             onAnswer();
@@ -309,8 +316,8 @@
         m_pool.m_listener.onLeafFailure(id, failure);
     }
 
-    /** An idle connection has ended. */
-    void drop()
+    /** Closes an idle connection that the leaf has closed or on which it has sent unsolicited input. */
+    void removeIdle()
     {
         const auto self = shared_from_this();
         close();
@@ -325,18 +332,18 @@
     asio::steady_timer m_connectTimer;
     response_reader m_reader;
     leaf_message m_message;
-    std::array<char, readBytes> m_chunk {};
+    std::array<char, readBytes> m_readBuffer {};
     std::string m_input;
     std::string m_output;
     millis m_openedAt;
     millis m_idleSince;
-    millis m_keepFor = idleGuess;
-    unsigned m_strays = 0;
+    millis m_idleLimit = defaultIdleLimit;
+    unsigned m_strayCount = 0;
     bool m_connected = false;
     bool m_busy = false;
     bool m_written = false;
-    bool m_ended = false;
-    bool m_confirming = false; ///< unanswered; finds out whether the leaf has ended
+    bool m_endOfStream = false;
+    bool m_confirming = false; ///< the request was not answered; a new connection checks whether the leaf has crashed
     bool m_closed = false;
 };
 
@@ -359,7 +366,7 @@
     const send_id id = message.id;
     if (const auto kept = takeIdle(message)) {
         m_busy.emplace(id, kept);
-        kept->use(std::move(message));
+        kept->reuse(std::move(message));
         return;
     }
     const auto made = std::make_shared<connection>(*this);
@@ -375,8 +382,8 @@
         return nullptr;
     }
     auto newest = idle->second.back();
-    if (!newest->usableFor(message, boot_clock().now()) || (message.once && !newest->isQuiet())) {
-        closeIdleOf(*message.to); // the others have been idle for longer
+    if (!newest->isUsableFor(message, boot_clock().now()) || (message.once && !newest->isOpenWithoutInput())) {
+        closeIdleOf(*message.to); // the other connections have been idle for longer
         return nullptr;
     }
     idle->second.pop_back();
@@ -393,7 +400,8 @@
     const auto ended = found->second;
     m_busy.erase(found);
     ended->close();
-    // Silence until the deadline may be the connection's alone; older ones to that leaf are not trusted either.
+    // If no answer arrives until the deadline, the connection may be broken rather than the leaf. Older connections to
+    // the leaf may be broken as well.
     closeIdleOf(ended->peer());
 }
 
@@ -403,9 +411,9 @@
     if (idle == m_idle.end()) {
         return;
     }
-    const connections old = std::move(idle->second);
+    const connections closing = std::move(idle->second);
     m_idle.erase(idle);
-    std::ranges::for_each(old, [](const auto &one) { one->closeIdle(); });
+    std::ranges::for_each(closing, [](const auto &one) { one->closeIdle(); });
 }
 
 void leaf_pool::closeIdle()
--- a/programs/chivelockd/gateway/leaf_pool.h
+++ b/programs/chivelockd/gateway/leaf_pool.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * Connections to leafs, kept from request to request. Every send ends in exactly one word to the listener, unless it
- * was cancelled.
+ * Pool of persistent connections to leafs. Every send ends with exactly one call of the listener, unless it was
+ * cancelled.
  */
 
 #include <gateway/gateway.h>
@@ -18,7 +18,7 @@
 
 namespace chivelock {
 
-/** What becomes of sends. */
+/** Receives the outcome of sends. */
 class send_listener
 {
 public:
@@ -31,22 +31,22 @@
     virtual void onLeafFailure(send_id id, send_failure failure) = 0;
 };
 
-/** One request for a leaf. */
+/** One request to send to a leaf. */
 struct leaf_message {
     send_id id = 0;
     std::shared_ptr<leaf> to;
     std::shared_ptr<const platform::leaf_request_text> text;
     std::string requestId;
-    millis remaining; ///< until the leaf may stop
-    bool toHead = false; ///< its answer has no body
-    bool once = false; ///< must not run twice
+    millis remaining; ///< time until the leaf may stop working on the request
+    bool toHead = false; ///< the answer has no body
+    bool once = false; ///< the request must run at most once
 };
 
-/** Counts since the start. */
+/** Counters since the start. */
 struct leaf_pool_counts {
     std::uint64_t opened = 0;
     std::uint64_t sent = 0;
-    std::uint64_t strayAnswers = 0; ///< to another request than the one asked
+    std::uint64_t strayAnswers = 0; ///< answers to another request than the current one
 };
 
 class leaf_pool
@@ -59,10 +59,10 @@
 
     void send(leaf_message message);
 
-    /** Closes the connection of a send that is under way; the leaf stops working on it. */
+    /** Closes the connection of a send that is in progress, so that the leaf stops working on it. */
     void cancel(send_id id);
 
-    /** Closes all connections on which nothing is under way: after this process stood still they may be dead. */
+    /** Closes all idle connections: after a pause of this process leafs may have closed them. */
     void closeIdle();
 
     [[nodiscard]] const leaf_pool_counts &counts() const
@@ -80,9 +80,9 @@
     boost::asio::io_context &m_reactor;
     send_listener &m_listener;
     leaf_pool_counts m_counts;
-    /** The one used last at the end. By leaf and not by its id: a leaf that starts again under its id accepts new
-     *  connections only, and requests on those of its earlier life would be lost. Each entry's leaf is held alive by
-     * its connections. */
+    /** Idle connections, the most recently used one last. The key is the leaf object, not the leaf's id: a leaf that
+     *  restarts under the same id serves new connections only, and requests on connections to its previous process
+     * would be lost. The connections keep the leaf of their entry alive. */
     std::unordered_map<const leaf *, connections> m_idle;
     std::unordered_map<send_id, std::shared_ptr<connection>> m_busy;
 };
--- a/programs/chivelockd/gateway/peer_mesh.cpp
+++ b/programs/chivelockd/gateway/peer_mesh.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 constexpr std::size_t readBytes = 16384;
-constexpr std::size_t mostUnsentBytes = 4U << 20U; // a process that does not read must not fill this one's memory
+constexpr std::size_t maxUnsentBytes = 4U << 20U; // a peer that does not read must not exhaust this process's memory
 constexpr millis connectLimit(300); // some round trips within a region
-constexpr link_id firstIncoming = link_id {1} << 40U; // apart from the numbers of dialled links
+constexpr link_id firstIncoming = link_id {1} << 40U; // apart from the ids of links that this process dials
 
 } // namespace
 
-/** One connection, dialled or taken. */
+/** One connection, dialled or accepted. */
 class peer_mesh::link : public std::enable_shared_from_this<link>
 {
 public:
@@ -34,16 +34,16 @@
         : m_mesh(mesh)
         , m_id(id)
         , m_socket(std::move(socket))
-        , m_limit(mesh.m_reactor)
+        , m_connectTimer(mesh.m_reactor)
     {
     }
 
     void open()
     {
         m_open = true;
-        error_code unknown; // a peer that is gone already: the link ends with the next read
+        error_code unknown; // set if the peer has disconnected already; the next read closes the link
         m_peer = m_socket.remote_endpoint(unknown).address().to_string();
-        error_code ignored; // without it messages are only slower
+        error_code ignored; // without this option messages are only slower
         m_socket.set_option(tcp::no_delay(true), ignored);
         read();
         write();
@@ -53,22 +53,22 @@
     {
         const auto endpoint = parseEndpoint(address);
         if (!endpoint) {
-            asio::post(m_mesh.m_reactor, [self = shared_from_this()] { self->lose(); });
+            asio::post(m_mesh.m_reactor, [self = shared_from_this()] { self->closeAndReport(); });
             return;
         }
-        m_limit.expires_after(std::chrono::milliseconds(connectLimit.ceiled()));
-        m_limit.async_wait([self = shared_from_this()](const error_code &stopped) {
-            if (!stopped && !self->m_open) {
-                self->lose();
+        m_connectTimer.expires_after(std::chrono::milliseconds(connectLimit.ceiled()));
+        m_connectTimer.async_wait([self = shared_from_this()](const error_code &timerError) {
+            if (!timerError && !self->m_open) {
+                self->closeAndReport();
             }
         });
         m_socket.async_connect(*endpoint, [self = shared_from_this()](const error_code &failed) {
             if (self->m_closed) {
                 return;
             }
-            self->m_limit.cancel();
+            self->m_connectTimer.cancel();
             if (failed) {
-                self->lose();
+                self->closeAndReport();
                 return;
             }
             self->open();
@@ -76,11 +76,11 @@
         });
     }
 
-    void tell(std::string_view frame)
+    void sendFrame(std::string_view frame)
     {
-        m_waiting += frame;
-        if (m_waiting.size() > mostUnsentBytes) {
-            asio::post(m_mesh.m_reactor, [self = shared_from_this()] { self->lose(); });
+        m_queued += frame;
+        if (m_queued.size() > maxUnsentBytes) {
+            asio::post(m_mesh.m_reactor, [self = shared_from_this()] { self->closeAndReport(); });
             return;
         }
         write();
@@ -94,21 +94,21 @@
     void close()
     {
         m_closed = true;
-        m_limit.cancel();
-        error_code ignored; // it is closed in any case
+        m_connectTimer.cancel();
+        error_code ignored; // the socket is closed even if an error is reported
         m_socket.close(ignored);
     }
 
 private:
     void read()
     {
-        m_socket.async_read_some(asio::buffer(m_chunk),
+        m_socket.async_read_some(asio::buffer(m_readBuffer),
                                  [self = shared_from_this()](const error_code &error, std::size_t count) {
                                      if (self->m_closed) {
                                          return;
                                      }
                                      if (error || !self->take(count)) {
-                                         self->lose();
+                                         self->closeAndReport();
                                          return;
                                      }
                                      if (!self->m_closed) {
@@ -117,10 +117,10 @@
                                  });
     }
 
-    /** @return false if the peer speaks nonsense. */
+    /** @return false if the peer sent an invalid frame or message. */
     bool take(std::size_t count)
     {
-        m_frames.append(std::span(m_chunk).first(count));
+        m_frames.append(std::span(m_readBuffer).first(count));
         while (!m_closed) {
             const auto payload = m_frames.next();
             if (!payload) {
@@ -139,20 +139,20 @@
 
     void write()
     {
-        if (!m_open || !m_inFlight.empty() || m_waiting.empty() || m_closed) {
+        if (!m_open || !m_inFlight.empty() || m_queued.empty() || m_closed) {
             return;
         }
-        m_inFlight.swap(m_waiting);
+        m_inFlight.swap(m_queued);
         asio::async_write(
             m_socket, asio::buffer(m_inFlight), [self = shared_from_this()](const error_code &error, std::size_t) {
                 self->m_inFlight.clear();
                 if (!error) {
-                    self->write(); // a failure shows at the read as well
+                    self->write(); // a failed write is detected by the read as well
                 }
             });
     }
 
-    void lose()
+    void closeAndReport()
     {
         if (m_closed) {
             return;
@@ -166,11 +166,11 @@
     peer_mesh &m_mesh;
     link_id m_id;
     tcp::socket m_socket;
-    asio::steady_timer m_limit;
-    std::array<std::uint8_t, readBytes> m_chunk {};
+    asio::steady_timer m_connectTimer;
+    std::array<std::uint8_t, readBytes> m_readBuffer {};
     frame_reader m_frames;
-    std::string m_peer; ///< IP number, once open
-    std::string m_waiting;
+    std::string m_peer; ///< IP address, once open
+    std::string m_queued;
     std::string m_inFlight;
     bool m_open = false;
     bool m_closed = false;
@@ -221,15 +221,15 @@
     made->dial(address);
 }
 
-void peer_mesh::tell(link_id id, std::string_view frame)
+void peer_mesh::sendFrame(link_id id, std::string_view frame)
 {
     const auto found = m_links.find(id);
     if (found != m_links.end()) {
-        found->second->tell(frame);
+        found->second->sendFrame(frame);
     }
 }
 
-void peer_mesh::hangUp(link_id id)
+void peer_mesh::closeLink(link_id id)
 {
     const auto found = m_links.find(id);
     if (found != m_links.end()) {
@@ -247,7 +247,7 @@
 
 void peer_mesh::stopListening()
 {
-    error_code ignored; // nothing depends on it
+    error_code ignored; // nothing depends on the result
     m_acceptor.close(ignored);
 }
 
--- a/programs/chivelockd/gateway/peer_mesh.h
+++ b/programs/chivelockd/gateway/peer_mesh.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file Connections among the processes of the fleet, on the reactor thread. */
+/** @file Connections between the processes of the fleet, on the reactor thread. */
 
 #include <fleet/fleet.h>
 
@@ -15,7 +15,7 @@
 
 namespace chivelock {
 
-/** What becomes of links. */
+/** Receives the events of the links of a @ref peer_mesh. */
 class link_listener
 {
 public:
@@ -24,13 +24,14 @@
     link_listener &operator=(const link_listener &) = delete;
     virtual ~link_listener() = default;
 
-    /** A dialled link is open. */
+    /** A link that this process dialled is open. */
     virtual void onLinkOpen(link_id link) = 0;
 
-    /** A link is gone or could not be made; not told of links that this side closed. */
+    /** A link was lost or could not be established. Not called for links that this process closed. */
     virtual void onLinkClosed(link_id link) = 0;
 
-    /** @param payload one frame without its length. @return false if it is no message; the link is closed then. */
+    /** @param payload one frame without its length prefix. @return false if it is not a valid message; the link is
+     * closed then. */
     [[nodiscard]] virtual bool onLinkFrame(link_id link, std::span<const std::uint8_t> payload) = 0;
 };
 
@@ -45,17 +46,17 @@
     [[nodiscard]] boost::system::error_code listen(const std::string &address, std::uint16_t port);
 
     void dial(link_id link, const std::string &address);
-    /** @param frame whole, with its length. */
-    void tell(link_id link, std::string_view frame);
-    void hangUp(link_id link);
+    /** @param frame complete frame, including its length prefix. */
+    void sendFrame(link_id link, std::string_view frame);
+    void closeLink(link_id link);
 
-    /** @return the IP number at the other end; empty for a link that is gone. */
+    /** @return the IP address of the other end; empty if the link does not exist any more. */
     [[nodiscard]] std::string peerOf(link_id link) const;
 
-    /** Takes no new links; those that are there stay. */
+    /** Accepts no new links; existing links stay open. */
     void stopListening();
 
-    /** Ends all links and takes no new ones. */
+    /** Closes all links and accepts no new ones. */
     void close();
 
 private:
--- a/programs/chivelockd/gateway/peer_traffic.cpp
+++ b/programs/chivelockd/gateway/peer_traffic.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Names of the metric's label, by kind and distance. */
+/** Label values of the metric, by kind and distance. */
 constexpr std::array<std::array<std::string_view, peerDistances>, peerMessageKinds> labels = {{
     {"whole_documents/own_zone", "whole_documents/other_zone", "whole_documents/unknown_zone"},
     {"document_changes/own_zone", "document_changes/other_zone", "document_changes/unknown_zone"},
@@ -20,7 +20,7 @@
     {"work_progress/own_zone", "work_progress/other_zone", "work_progress/unknown_zone"},
 }};
 
-struct kind_of_message {
+struct message_kind_visitor {
     peer_message_kind operator()(const follow_request &message) const
     {
         return message.members.size() > 1 ? peer_message_kind::FleetMembers : peer_message_kind::FleetState;
@@ -33,13 +33,13 @@
 
     peer_message_kind operator()(const upstream_state &message) const
     {
-        const bool told = !message.members.empty() || !message.changes.empty();
-        return told ? peer_message_kind::FleetMembers : peer_message_kind::FleetState;
+        const bool hasMembers = !message.members.empty() || !message.changes.empty();
+        return hasMembers ? peer_message_kind::FleetMembers : peer_message_kind::FleetState;
     }
 
     peer_message_kind operator()(const store_items &message) const
     {
-        return message.whole ? peer_message_kind::WholeDocuments : peer_message_kind::DocumentChanges;
+        return message.whole ? peer_message_kind::FullDocuments : peer_message_kind::DocumentChanges;
     }
 
     peer_message_kind operator()(const past_deletions &) const
@@ -54,7 +54,7 @@
 
     peer_message_kind operator()(const request_news &) const
     {
-        return peer_message_kind::RequestNews;
+        return peer_message_kind::RequestEvidence;
     }
 };
 
@@ -62,7 +62,7 @@
 
 peer_message_kind kindOf(const fleet_message &message)
 {
-    return std::visit(kind_of_message {}, message);
+    return std::visit(message_kind_visitor {}, message);
 }
 
 peer_traffic::peer_traffic(zone_name ownZone)
--- a/programs/chivelockd/gateway/serve_gateway.cpp
+++ b/programs/chivelockd/gateway/serve_gateway.cpp
@@ -19,40 +19,40 @@
 
 namespace {
 
-constexpr int settingsLookMillis = 1000; // the file may change without a signal
+constexpr int settingsPollMillis = 1000; // the settings file may change without a SIGHUP
 
-/** Tells whether the settings file was written since the last look. */
+/** Detects changes of the settings file by its modification time. */
 class file_watch
 {
 public:
     explicit file_watch(std::string path)
         : m_path(std::move(path))
-        , m_seen(modified())
+        , m_lastModified(modificationTime())
     {
     }
 
     [[nodiscard]] bool changed()
     {
-        const auto now = modified();
-        return std::exchange(m_seen, now) != now;
+        const auto now = modificationTime();
+        return std::exchange(m_lastModified, now) != now;
     }
 
 private:
-    [[nodiscard]] std::pair<std::int64_t, std::int64_t> modified() const
+    [[nodiscard]] std::pair<std::int64_t, std::int64_t> modificationTime() const
     {
-        struct stat facts {
+        struct stat fileStatus {
         };
-        if (stat(m_path.c_str(), &facts) != 0) {
+        if (stat(m_path.c_str(), &fileStatus) != 0) {
             return {};
         }
-        return {facts.st_mtim.tv_sec, facts.st_mtim.tv_nsec};
+        return {fileStatus.st_mtim.tv_sec, fileStatus.st_mtim.tv_nsec};
     }
 
     std::string m_path;
-    std::pair<std::int64_t, std::int64_t> m_seen;
+    std::pair<std::int64_t, std::int64_t> m_lastModified;
 };
 
-void reload(gateway_service &service, const std::string &path, std::string_view reason)
+void reloadSettings(gateway_service &service, const std::string &path, std::string_view reason)
 {
     auto settings = loadGatewaySettings(path);
     if (!settings) {
@@ -66,7 +66,7 @@
     service.changeSettings(*std::move(settings));
 }
 
-int takeSignal(int signals)
+int readSignal(int signals)
 {
     signalfd_siginfo info {};
     if (read(signals, &info, sizeof info) != static_cast<ssize_t>(sizeof info)) {
@@ -78,19 +78,19 @@
 void runUntilStopped(gateway_service &service, const std::string &settingsPath, int signals)
 {
     file_watch settingsFile(settingsPath);
-    std::array<pollfd, 2> waits = {pollfd {signals, POLLIN, 0}, pollfd {service.finishedFd(), POLLIN, 0}};
+    std::array<pollfd, 2> pollFds = {pollfd {signals, POLLIN, 0}, pollfd {service.finishedFd(), POLLIN, 0}};
     while (true) {
-        poll(waits.data(), waits.size(), settingsLookMillis);
-        if ((waits[1].revents & POLLIN) != 0) {
+        poll(pollFds.data(), pollFds.size(), settingsPollMillis);
+        if ((pollFds[1].revents & POLLIN) != 0) {
             return;
         }
-        const int signal = (waits[0].revents & POLLIN) != 0 ? takeSignal(signals) : 0;
+        const int signal = (pollFds[0].revents & POLLIN) != 0 ? readSignal(signals) : 0;
         if (signal == SIGTERM || signal == SIGINT) {
             service.beginStop();
         }
         const bool changed = settingsFile.changed();
         if (signal == SIGHUP || changed) {
-            reload(service, settingsPath, signal == SIGHUP ? "signal" : "file_changed");
+            reloadSettings(service, settingsPath, signal == SIGHUP ? "signal" : "file_changed");
         }
     }
 }
--- a/programs/chivelockd/gateway/serve_gateway.h
+++ b/programs/chivelockd/gateway/serve_gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file The process as a gateway: settings, signals, start and stop. */
+/** @file Runs the process as a gateway: settings, signals, start and stop. */
 
 #include <settings/settings.h>
 
@@ -8,10 +8,14 @@
 
 namespace chivelock {
 
-/** Runs until a signal asks for the end. @param signals descriptor from which signals are read. @return exit code. */
+/**
+ * Runs until SIGTERM or SIGINT and the planned stop that follows.
+ * @param signals signalfd to read from.
+ * @return the exit code of the process.
+ */
 int serveGateway(const gateway_daemon_settings &settings, const std::string &settingsPath, int signals);
 
-/** @return the settings in the file, or the problems as text. */
+/** @return the settings in the file, or the problems found in it as text. */
 [[nodiscard]] tl::expected<gateway_daemon_settings, std::string> loadGatewaySettings(const std::string &path);
 
 } // namespace chivelock
--- a/programs/chivelockd/gateway/status_pages.cpp
+++ b/programs/chivelockd/gateway/status_pages.cpp
@@ -19,7 +19,7 @@
     if (request.target != platform::readinessPath) {
         return emptyAnswer(notFound);
     }
-    return emptyAnswer(source.answerReadiness() ? ok : unavailable);
+    return emptyAnswer(source.answerReadinessProbe() ? ok : unavailable);
 }
 
 std::string metricsAnswer(const status_source &source)
@@ -31,7 +31,7 @@
 
 } // namespace
 
-std::string writeFaultAnswer(read_state fault)
+std::string writeReadErrorAnswer(read_state fault)
 {
     constexpr unsigned badRequest = 400;
     constexpr unsigned timeout = 408;
@@ -56,12 +56,12 @@
 
 void status_pages::page::onCallerLeft(session_id session)
 {
-    (void)session; // answers come at once, nobody waits for one
+    (void)session; // every request is answered immediately, so none is pending
 }
 
 status_pages::status_pages(boost::asio::io_context &reactor, status_source &source)
-    : m_readinessServer(reactor, m_readinessPage, writeFaultAnswer)
-    , m_metricsServer(reactor, m_metricsPage, writeFaultAnswer)
+    : m_readinessServer(reactor, m_readinessPage, writeReadErrorAnswer)
+    , m_metricsServer(reactor, m_metricsPage, writeReadErrorAnswer)
 {
     m_readinessPage.server = &m_readinessServer;
     m_readinessPage.answer = [&source](const http_request &request) { return readinessAnswer(source, request); };
--- a/programs/chivelockd/gateway/status_pages.h
+++ b/programs/chivelockd/gateway/status_pages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file Readiness and metrics, each at its own address. */
+/** @file HTTP pages for readiness and metrics, each with its own listening address. */
 
 #include "caller_server.h"
 
@@ -9,7 +9,7 @@
 
 namespace chivelock {
 
-/** What the pages tell. */
+/** Provides the contents of the pages. */
 class status_source
 {
 public:
@@ -18,13 +18,13 @@
     status_source &operator=(const status_source &) = delete;
     virtual ~status_source() = default;
 
-    /** Whether this VM takes callers; each call is one question of the platform. */
-    [[nodiscard]] virtual bool answerReadiness() = 0;
+    /** @return whether this VM accepts callers. Called once per readiness probe: a planned stop counts the probes. */
+    [[nodiscard]] virtual bool answerReadinessProbe() = 0;
     [[nodiscard]] virtual std::string metricsPage() const = 0;
 };
 
-/** The answer to a message that can't be taken as a request. */
-[[nodiscard]] std::string writeFaultAnswer(read_state fault);
+/** @return the error response to input that is not a valid request. */
+[[nodiscard]] std::string writeReadErrorAnswer(read_state fault);
 
 class status_pages
 {
@@ -42,7 +42,7 @@
     }
 
 private:
-    /** Answers each request at once. */
+    /** Answers each request immediately. */
     class page : public request_listener
     {
     public:
--- a/programs/chivelockd/gateway/store_feed.cpp
+++ b/programs/chivelockd/gateway/store_feed.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-constexpr millis tickInterval(100); // a quarter of the beat among processes
+constexpr millis tickInterval(100); // a quarter of the heartbeat interval between processes
 
-// Of the drain limit, that the store holds a watch on leafs: twice that and the way down the tree is how old the word
-// of a leaf that leaves may be, and for so long less it is asked.
+// Share of the drain limit for which the store holds a watch on leafs. The update about a leaving leaf may be as old as
+// twice this time plus the propagation down the tree, and that shortens the time for which the leaf may still be asked.
 constexpr double leafWatchShare = 0.13;
 
-// Shares of the time in which a configuration must be in force. A third of it passes until the reader notices that the
-// store has left it; the rest is for one more seed to fail, then others by the draw (ten of them at most, a fifth of
-// the time), and the reading.
-constexpr double seedPatienceShare = 0.08;
-constexpr double patienceShare = 0.15;
-constexpr double drawShare = 0.02;
+// Shares of the time limit within which a new configuration must be in force. A third of the limit passes until the
+// reader detects that it has lost the store. The rest is for one more seed to fail, then for other processes chosen by
+// random draws (at most ten draws, a fifth of the limit), and for reading the store.
+constexpr double seedUpstreamGraceShare = 0.08;
+constexpr double upstreamGraceShare = 0.15;
+constexpr double drawIntervalShare = 0.02;
 
-/** Of what operators write only the configuration's value says anything; anyone may write megabytes beside it, which
- * all VMs would hold and pass on. */
-void dropUnread(std::string_view prefix, std::vector<store_item> &items)
+/** Drops the values of operators' keys other than the configuration. These values are never read, but they may be
+ *  megabytes long, and all VMs would store and forward them. */
+void clearUnreadValues(std::string_view prefix, std::vector<store_item> &items)
 {
     if (prefix != platform::configPrefix) {
         return;
@@ -40,16 +40,16 @@
     return address.address + ":" + std::to_string(address.port);
 }
 
-fleet_settings treeSettings(const gateway_daemon_settings &from)
+fleet_settings makeFleetSettings(const gateway_daemon_settings &from)
 {
     fleet_settings settings;
     settings.address = textOf(from.peers);
     settings.zone = from.zone;
     settings.seeds = from.seeds;
     settings.prefixes = {std::string(platform::configPrefix), std::string(platform::leafPrefix)};
-    settings.seedPatience = from.applyLimit * seedPatienceShare;
-    settings.patience = from.applyLimit * patienceShare;
-    settings.drawInterval = from.applyLimit * drawShare;
+    settings.seedPatience = from.applyLimit * seedUpstreamGraceShare;
+    settings.patience = from.applyLimit * upstreamGraceShare;
+    settings.drawInterval = from.applyLimit * drawIntervalShare;
     return settings;
 }
 
@@ -62,19 +62,19 @@
     : m_address(settings.peers)
     , m_traffic(traffic)
     , m_listener(listener)
-    , m_node(treeSettings(settings), std::hash<std::string>()(settings.vmName))
+    , m_node(makeFleetSettings(settings), std::hash<std::string>()(settings.vmName))
     , m_mesh(reactor, *this)
-    , m_prefixes(treeSettings(settings).prefixes)
+    , m_prefixes(makeFleetSettings(settings).prefixes)
     , m_timer(reactor)
 {
     for (const std::string &prefix : m_prefixes) {
-        store_reader_settings reading;
-        reading.address = settings.storeAddress;
-        reading.prefix = prefix;
-        const bool aboutLeafs = prefix == platform::leafPrefix;
-        reading.wait =
-            aboutLeafs ? std::min(settings.storeWait, settings.drainLimit * leafWatchShare) : settings.storeWait;
-        m_readers.push_back(std::make_unique<store_reader>(reactor, reading, *this));
+        store_reader_settings readerSettings;
+        readerSettings.address = settings.storeAddress;
+        readerSettings.prefix = prefix;
+        const bool isLeafPrefix = prefix == platform::leafPrefix;
+        readerSettings.watchWait =
+            isLeafPrefix ? std::min(settings.storeWait, settings.drainLimit * leafWatchShare) : settings.storeWait;
+        m_readers.push_back(std::make_unique<store_reader>(reactor, readerSettings, *this));
     }
 }
 
@@ -88,9 +88,9 @@
     return error;
 }
 
-void store_feed::tellRequests(const std::vector<request_evidence> &news)
+void store_feed::publishRequestEvidence(const std::vector<request_evidence> &evidence)
 {
-    m_node.tellRequests(news, 0, m_clock.now());
+    m_node.tellRequests(evidence, 0, m_clock.now());
     flush();
 }
 
@@ -101,10 +101,10 @@
     flush();
 }
 
-void store_feed::refresh()
+void store_feed::reconnect()
 {
     for (const auto &reader : m_readers) {
-        reader->refresh();
+        reader->reconnect();
     }
 }
 
@@ -147,14 +147,14 @@
 
 void store_feed::onStoreContents(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision)
 {
-    dropUnread(prefix, items);
+    clearUnreadValues(prefix, items);
     m_node.onStoreContents(prefix, std::move(items), revision);
     flush();
 }
 
 void store_feed::onStoreChanges(std::string_view prefix, std::vector<store_item> changes, std::uint64_t revision)
 {
-    dropUnread(prefix, changes);
+    clearUnreadValues(prefix, changes);
     m_node.onStoreChanges(prefix, std::move(changes), revision);
     flush();
 }
@@ -170,7 +170,7 @@
 void store_feed::onStoreState(std::string_view prefix, bool ok)
 {
     if (ok && prefix == m_prefixes.front()) {
-        startOthers();
+        startRemainingReaders();
     }
     m_node.onStoreState(prefix, ok, m_clock.now());
     flush();
@@ -184,8 +184,8 @@
     flush();
     m_listener.onFleetState({m_node.fleetSize(now), m_node.storeInTrouble(), m_node.currentAsOf()});
     m_timer.expires_after(std::chrono::milliseconds(tickInterval.ceiled()));
-    m_timer.async_wait([this](const boost::system::error_code &stopped) {
-        if (!stopped) {
+    m_timer.async_wait([this](const boost::system::error_code &timerError) {
+        if (!timerError) {
             tick();
         }
     });
@@ -207,7 +207,7 @@
 
 void store_feed::perform(const hang_up_action &action)
 {
-    m_mesh.hangUp(action.link);
+    m_mesh.closeLink(action.link);
 }
 
 void store_feed::perform(const tell_action &action)
@@ -215,12 +215,13 @@
     const std::string frame = encodeFleetFrame(action.message);
     for (const link_id link : action.links) {
         m_traffic.count(kindOf(action.message), m_mesh.peerOf(link), frame.size());
-        m_mesh.tell(link, frame);
+        m_mesh.sendFrame(link, frame);
     }
 }
 
-/** One prefix tells whether the store answers; the others are asked for only then, so that a store that is down for the
- *  whole fleet gets half the calls. A process that knows nothing yet does not wait for that: callers do. */
+/** Stops all readers, or starts the reader of the first prefix. The readers of known prefixes start once the first one
+ * shows that the store answers, so that a store that is down for the whole fleet gets half the calls. A prefix whose
+ * contents are not known yet is read at once, because callers wait for it. */
 void store_feed::perform(const read_action &action)
 {
     std::ranges::for_each(m_readers, [](const auto &reader) { reader->stop(); });
@@ -237,7 +238,7 @@
     m_readers[at]->start(view.known() ? std::optional(view.revision()) : std::nullopt);
 }
 
-void store_feed::startOthers()
+void store_feed::startRemainingReaders()
 {
     for (std::size_t at = 1; at < m_readers.size(); ++at) {
         if (!m_readers[at]->isStarted()) {
@@ -248,7 +249,7 @@
 
 void store_feed::perform(const news_action &action)
 {
-    m_listener.onStoreNews(action.prefix, action.items);
+    m_listener.onStoreItems(action.prefix, action.items);
 }
 
 void store_feed::perform(const members_action &action)
@@ -269,7 +270,7 @@
 
 void store_feed::perform(const greet_action &action)
 {
-    m_node.greet(action.link, m_listener.allRequests(), m_clock.now());
+    m_node.greet(action.link, m_listener.allRequestEvidence(), m_clock.now());
 }
 
 void store_feed::perform(const tree_note_action &action)
--- a/programs/chivelockd/gateway/store_feed.h
+++ b/programs/chivelockd/gateway/store_feed.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * What the platform's store says, however it gets here: read by this process or heard from another of the fleet.
- * Connects the decisions of fleet/fleet.h with sockets.
+ * Provides the contents of the platform's store, read by this process or received from another process of the fleet.
+ * Performs the actions of @ref fleet_node on sockets.
  */
 
 #include "peer_mesh.h"
@@ -20,14 +20,14 @@
 
 namespace chivelock {
 
-/** What this process knows of the fleet and of the store's word. */
+/** What this process knows about the fleet and the state of the store. */
 struct fleet_state {
-    std::size_t size = 1; ///< processes
+    std::size_t size = 1; ///< number of processes
     bool storeInTrouble = false; ///< see @ref fleet_node::storeInTrouble
     millis currentAsOf; ///< see @ref fleet_node::currentAsOf
 };
 
-/** Who uses the news. */
+/** Receives updates from the store and the fleet. */
 class feed_listener
 {
 public:
@@ -36,25 +36,26 @@
     feed_listener &operator=(const feed_listener &) = delete;
     virtual ~feed_listener() = default;
 
-    /** Items of one prefix that changed, oldest first; the first time all of them. */
-    virtual void onStoreNews(std::string_view prefix, const std::vector<store_item> &items) = 0;
+    /** Items of one prefix that changed, oldest first; all items of the prefix on the first call. */
+    virtual void onStoreItems(std::string_view prefix, const std::vector<store_item> &items) = 0;
 
-    /** Told some times a second. */
+    /** Called several times a second. */
     virtual void onFleetState(const fleet_state &state) = 0;
 
-    /** Who the fleet is, when it changes. */
+    /** The complete list of the fleet's VMs, when it changes. */
     virtual void onFleetMembers(const std::vector<fleet_member> &members) = 0;
 
-    /** What other VMs found out about leafs. */
+    /** Reports of other VMs about leafs. */
     virtual void onLeafReports(const std::vector<leaf_report> &reports) = 0;
 
-    /** What other VMs found out about requests. @return what of it was not known. */
-    [[nodiscard]] virtual std::vector<request_evidence> onRequestNews(const std::vector<request_evidence> &news) = 0;
+    /** Evidence of other VMs about requests that crash leafs. @return the evidence that was not known here. */
+    [[nodiscard]] virtual std::vector<request_evidence>
+    onRequestNews(const std::vector<request_evidence> &evidence) = 0;
 
-    /** @return all that is known of requests, for a VM that joins. */
-    [[nodiscard]] virtual std::vector<request_evidence> allRequests() = 0;
+    /** @return all known evidence about requests that crash leafs, for a VM that joins. */
+    [[nodiscard]] virtual std::vector<request_evidence> allRequestEvidence() = 0;
 
-    /** @return what this VM found out about leafs since the last call, for the others. */
+    /** @return this VM's reports about leafs since the last call, for the other VMs. */
     [[nodiscard]] virtual std::vector<leaf_report> takeLeafReports() = 0;
 };
 
@@ -68,18 +69,18 @@
 
     [[nodiscard]] boost::system::error_code start();
 
-    /** Tells the fleet at once what this VM found out about requests. */
-    void tellRequests(const std::vector<request_evidence> &news);
+    /** Immediately sends this VM's evidence about requests that crash leafs to the fleet. */
+    void publishRequestEvidence(const std::vector<request_evidence> &evidence);
 
-    /** Leaves the fleet: followers look for another process at once. */
+    /** Leaves the fleet, so that followers look for another process at once. */
     void leave();
 
-    /** This process stood still for long. */
-    void refresh();
+    /** Renews the connections to the store after a long pause of this process. */
+    void reconnect();
 
     [[nodiscard]] std::uint64_t storeCalls() const;
 
-    /** @return through whom the store's word comes: a VM's address, or `store`. */
+    /** @return the source of store updates: the address of the VM that this process follows, or `store`. */
     [[nodiscard]] std::string source() const;
 
 private:
@@ -92,7 +93,7 @@
     void onStoreState(std::string_view prefix, bool ok) override;
 
     void startReader(std::size_t at);
-    void startOthers();
+    void startRemainingReaders();
     void tick();
     void flush();
     void perform(const dial_action &action);
--- a/programs/chivelockd/gateway/store_reader.cpp
+++ b/programs/chivelockd/gateway/store_reader.cpp
@@ -15,15 +15,15 @@
 namespace {
 
 constexpr std::size_t readBytes = 65536;
-constexpr std::size_t mostBodyBytes = 16 << 20; // a page of a megabyte in base64, many times over
-constexpr millis answerLimit(500); // of silence: far above the few milliseconds that the store takes
+constexpr std::size_t maxAnswerBodyBytes = 16 << 20; // many times a page of one megabyte in base64
+constexpr millis answerSilenceLimit(500); // limit without input; far above the few milliseconds that the store takes
 
-// For a whole answer, however steadily it comes: a megabyte on a small VM's link that others press on. Cut off by the
-// limit for silence while it was arriving, a whole document was asked for again and again on a busy link.
-constexpr millis wholeLimit(5000);
-constexpr millis firstWait(50);
-constexpr millis firstRetry(400);
-constexpr millis mostRetry(1000); // a store that is back is read again within about that time
+// Limit for a complete answer that keeps arriving: a megabyte over the busy link of a small VM. With the silence limit
+// as the limit for the complete answer, a full document was cut off on a busy link and requested again and again.
+constexpr millis completeAnswerLimit(5000);
+constexpr millis firstWatchWait(50);
+constexpr millis firstRetryDelay(400);
+constexpr millis maxRetryDelay(1000); // a store that recovers is read again within about this time
 
 } // namespace
 
@@ -32,8 +32,8 @@
     , m_settings(std::move(settings))
     , m_listener(listener)
     , m_timeout(reactor)
-    , m_pause(reactor)
-    , m_chunk(readBytes)
+    , m_callTimer(reactor)
+    , m_readBuffer(readBytes)
     , m_random(std::hash<std::string>()(m_settings.prefix))
 {
 }
@@ -47,43 +47,43 @@
     m_answered = false;
     m_watching = revision.has_value();
     m_revision = revision.value_or(0);
-    ask();
+    issueCall();
 }
 
 void store_reader::stop()
 {
     m_started = false;
     m_failures = 0;
-    m_turn += 1;
-    m_after.clear();
-    m_pages.clear();
+    m_callGeneration += 1;
+    m_lastPageKey.clear();
+    m_pagedItems.clear();
     closeSocket();
     m_timeout.cancel();
-    m_pause.cancel();
+    m_callTimer.cancel();
 }
 
-void store_reader::refresh()
+void store_reader::reconnect()
 {
     if (m_started) {
         closeSocket();
-        m_pause.cancel();
-        ask();
+        m_callTimer.cancel();
+        issueCall();
     }
 }
 
-void store_reader::ask()
+void store_reader::issueCall()
 {
-    // The first call tells whether the store serves this VM at all: it must not be held for long.
-    const millis wait = m_answered ? m_settings.wait : std::min(firstWait, m_settings.wait);
+    // The first call shows whether the store answers this VM at all, so the store must not hold it for long.
+    const millis wait = m_answered ? m_settings.watchWait : std::min(firstWatchWait, m_settings.watchWait);
     const std::string target = m_watching ? platform::watchTarget(m_settings.prefix, m_revision, wait)
-                                          : platform::rangeTarget(m_settings.prefix, m_after);
+                                          : platform::rangeTarget(m_settings.prefix, m_lastPageKey);
     m_output = "GET " + target + " HTTP/1.1\r\nHost: " + m_settings.address + "\r\n\r\n";
     m_input.clear();
-    m_reader.expect(false, mostBodyBytes);
-    m_turn += 1;
-    m_askedAt = m_after.empty() ? m_clock.now() : m_askedAt;
-    m_wholeBy = m_clock.now() + wait + wholeLimit;
-    armTimeout(m_watching ? wait + answerLimit : answerLimit);
+    m_reader.expect(false, maxAnswerBodyBytes);
+    m_callGeneration += 1;
+    m_calledAt = m_lastPageKey.empty() ? m_clock.now() : m_calledAt;
+    m_answerDeadline = m_clock.now() + wait + completeAnswerLimit;
+    armTimeout(m_watching ? wait + answerSilenceLimit : answerSilenceLimit);
     if (m_socket) {
         write();
     } else {
@@ -95,19 +95,19 @@
 {
     const auto endpoint = parseEndpoint(m_settings.address);
     if (!endpoint) {
-        lose("bad_address");
+        onCallFailed("bad_address");
         return;
     }
     m_socket = std::make_unique<tcp::socket>(m_reactor);
-    m_socket->async_connect(*endpoint, [this, turn = m_turn](const error_code &failed) {
-        if (turn != m_turn) {
+    m_socket->async_connect(*endpoint, [this, generation = m_callGeneration](const error_code &failed) {
+        if (generation != m_callGeneration) {
             return;
         }
         if (failed) {
-            lose("connect");
+            onCallFailed("connect");
             return;
         }
-        error_code ignored; // without it calls are only slower
+        error_code ignored; // without this option calls are only slower
         m_socket->set_option(tcp::no_delay(true), ignored);
         write();
     });
@@ -116,45 +116,48 @@
 void store_reader::write()
 {
     m_calls += 1;
-    asio::async_write(*m_socket, asio::buffer(m_output), [this, turn = m_turn](const error_code &failed, std::size_t) {
-        if (turn != m_turn) {
-            return;
-        }
-        if (failed) {
-            lose("write");
-            return;
-        }
-        read(turn);
-    });
+    asio::async_write(*m_socket,
+                      asio::buffer(m_output),
+                      [this, generation = m_callGeneration](const error_code &failed, std::size_t) {
+                          if (generation != m_callGeneration) {
+                              return;
+                          }
+                          if (failed) {
+                              onCallFailed("write");
+                              return;
+                          }
+                          read(generation);
+                      });
 }
 
-void store_reader::read(std::uint64_t turn)
+void store_reader::read(std::uint64_t generation)
 {
-    m_socket->async_read_some(asio::buffer(m_chunk), [this, turn](const error_code &failed, std::size_t count) {
-        if (turn != m_turn) {
-            return;
-        }
-        if (failed) {
-            lose("closed");
-            return;
-        }
-        m_input.append(m_chunk.data(), count);
-        const read_state state = m_reader.feed(m_input);
-        if (state == read_state::NeedMore) {
-            armTimeout(std::clamp(m_wholeBy - m_clock.now(), millis(), answerLimit));
-            read(turn);
-        } else if (state == read_state::Complete) {
-            onAnswer(m_reader.take());
-        } else {
-            lose("bad_answer");
-        }
-    });
+    m_socket->async_read_some(
+        asio::buffer(m_readBuffer), [this, generation](const error_code &failed, std::size_t count) {
+            if (generation != m_callGeneration) {
+                return;
+            }
+            if (failed) {
+                onCallFailed("closed");
+                return;
+            }
+            m_input.append(m_readBuffer.data(), count);
+            const read_state state = m_reader.feed(m_input);
+            if (state == read_state::NeedMore) {
+                armTimeout(std::clamp(m_answerDeadline - m_clock.now(), millis(), answerSilenceLimit));
+                read(generation);
+            } else if (state == read_state::Complete) {
+                onAnswer(m_reader.take());
+            } else {
+                onCallFailed("bad_answer");
+            }
+        });
 }
 
 void store_reader::onAnswer(const http_response &response)
 {
     m_timeout.cancel();
-    m_turn += 1;
+    m_callGeneration += 1;
     if (!response.keepAlive) {
         closeSocket();
     }
@@ -165,18 +168,18 @@
                  "store_history_gone",
                  {{"prefix", m_settings.prefix}, {"after_revision", m_revision}, {"outcome", "read_anew"}});
         m_watching = false;
-        m_after.clear();
-        m_pages.clear();
-        ask();
+        m_lastPageKey.clear();
+        m_pagedItems.clear();
+        issueCall();
         return;
     }
     if (response.status != ok) {
-        lose("status_" + std::to_string(response.status));
+        onCallFailed("status_" + std::to_string(response.status));
         return;
     }
-    regained();
+    onStoreAnswered();
     if (!m_started) {
-        return; // the word made this process follow another one
+        return; // in response to the state change, this process stopped reading and follows another process
     }
     if (m_watching) {
         onWatch(response);
@@ -189,49 +192,50 @@
 {
     auto page = platform::decodeRange(response.body);
     if (!page) {
-        lose(page.error().reason);
+        onCallFailed(page.error().reason);
         return;
     }
-    // Pages are read one after the other: only changes after the first of them are sure to be missing from all.
-    m_revision = m_after.empty() ? page->revision : m_revision;
-    std::ranges::move(page->events, std::back_inserter(m_pages));
-    if (page->more && !m_pages.empty()) {
-        m_after = m_pages.back().key;
-        ask();
+    // Pages are read one after the other, so a later page may lack changes made since the first page was read. The
+    // watch must therefore start from the revision of the first page.
+    m_revision = m_lastPageKey.empty() ? page->revision : m_revision;
+    std::ranges::move(page->events, std::back_inserter(m_pagedItems));
+    if (page->more && !m_pagedItems.empty()) {
+        m_lastPageKey = m_pagedItems.back().key;
+        issueCall();
         return;
     }
     m_watching = true;
-    m_after.clear();
-    m_listener.onStoreContents(m_settings.prefix, std::exchange(m_pages, {}), m_revision);
-    m_listener.onStoreCurrent(m_settings.prefix, m_askedAt);
-    ask();
+    m_lastPageKey.clear();
+    m_listener.onStoreContents(m_settings.prefix, std::exchange(m_pagedItems, {}), m_revision);
+    m_listener.onStoreCurrent(m_settings.prefix, m_calledAt);
+    issueCall();
 }
 
 void store_reader::onWatch(const http_response &response)
 {
     auto page = platform::decodeWatch(response.body);
     if (!page) {
-        lose(page.error().reason);
+        onCallFailed(page.error().reason);
         return;
     }
     m_revision = std::max(m_revision, page->revision);
-    const bool news = !page->events.empty();
-    if (news) {
+    const bool hasChanges = !page->events.empty();
+    if (hasChanges) {
         m_listener.onStoreChanges(m_settings.prefix, std::move(page->events), m_revision);
     }
-    m_listener.onStoreCurrent(m_settings.prefix, m_askedAt);
-    if (news) {
-        later(m_settings.gather);
+    m_listener.onStoreCurrent(m_settings.prefix, m_calledAt);
+    if (hasChanges) {
+        scheduleCall(m_settings.gatherPause);
     } else {
-        ask();
+        issueCall();
     }
 }
 
-void store_reader::lose(std::string_view cause)
+void store_reader::onCallFailed(std::string_view cause)
 {
     closeSocket();
     m_timeout.cancel();
-    m_turn += 1;
+    m_callGeneration += 1;
     if (m_failures == 0) {
         logEvent(log_level::Warning,
                  "store_lost",
@@ -241,15 +245,15 @@
         m_listener.onStoreState(m_settings.prefix, false);
     }
     if (!m_started) {
-        return; // the word made this process follow another one
+        return; // in response to the state change, this process stopped reading and follows another process
     }
     m_failures = std::min(m_failures + 1, 8U);
-    const millis delay = std::min(firstRetry * static_cast<double>(1U << (m_failures - 1)), mostRetry);
-    constexpr double jitter = 0.3; // so that VMs that lost the store together do not come back together
-    later(delay * (1 - jitter * m_random.uniform()));
+    const millis delay = std::min(firstRetryDelay * static_cast<double>(1U << (m_failures - 1)), maxRetryDelay);
+    constexpr double jitter = 0.3; // so that VMs that lost the store at the same time do not reconnect at the same time
+    scheduleCall(delay * (1 - jitter * m_random.uniform()));
 }
 
-void store_reader::regained()
+void store_reader::onStoreAnswered()
 {
     if (m_failures > 0) {
         logEvent(log_level::Info,
@@ -262,23 +266,23 @@
     }
 }
 
-/** A store that is silent, or a connection that lost the answer, shows by nothing but time. */
+/** Only a timeout detects an unresponsive store or a connection that lost the answer. */
 void store_reader::armTimeout(millis limit)
 {
     m_timeout.expires_after(std::chrono::microseconds(limit.micros()));
-    m_timeout.async_wait([this, turn = m_turn](const error_code &stopped) {
-        if (!stopped && turn == m_turn) {
-            lose("timeout");
+    m_timeout.async_wait([this, generation = m_callGeneration](const error_code &timerError) {
+        if (!timerError && generation == m_callGeneration) {
+            onCallFailed("timeout");
         }
     });
 }
 
-void store_reader::later(millis delay)
+void store_reader::scheduleCall(millis delay)
 {
-    m_pause.expires_after(std::chrono::microseconds(delay.micros()));
-    m_pause.async_wait([this](const error_code &stopped) {
-        if (!stopped && m_started) {
-            ask();
+    m_callTimer.expires_after(std::chrono::microseconds(delay.micros()));
+    m_callTimer.async_wait([this](const error_code &timerError) {
+        if (!timerError && m_started) {
+            issueCall();
         }
     });
 }
@@ -286,7 +290,7 @@
 void store_reader::closeSocket()
 {
     if (m_socket) {
-        error_code ignored; // it is closed in any case
+        error_code ignored; // the socket is closed even if an error is reported
         m_socket->close(ignored);
         m_socket.reset();
     }
--- a/programs/chivelockd/gateway/store_reader.h
+++ b/programs/chivelockd/gateway/store_reader.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * Follows one prefix of the platform's store: reads it whole, then waits for changes; begins anew when the store has
- * dropped the history in between.
+ * Follows one prefix of the platform's store: reads its complete contents, then watches for changes. Reads the contents
+ * again when the store has discarded the history since the last known revision.
  */
 
 #include <base/base.h>
@@ -21,15 +21,16 @@
 
 namespace chivelock {
 
-/** What is read and how. */
+/** What a @ref store_reader reads, and its timing. */
 struct store_reader_settings {
-    std::string address; ///< IP number and port of the store
+    std::string address; ///< IP address and port of the store
     std::string prefix;
-    millis wait {900}; ///< how long the store holds a watch without news; a store gone silent is not noticed sooner
-    millis gather {150}; ///< pause after news, so that one call brings what changes together
+    /** How long the store holds a watch without changes; an unresponsive store is not detected sooner. */
+    millis watchWait {900};
+    millis gatherPause {150}; ///< pause after changes, so that one call returns changes that are made together
 };
 
-/** What the reader tells. */
+/** Receives what a @ref store_reader reads. */
 class store_listener
 {
 public:
@@ -41,14 +42,15 @@
     /** All items under the prefix, as of @p revision or later. */
     virtual void onStoreContents(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision) = 0;
 
-    /** What changed up to @p revision, oldest first. */
+    /** All changes up to @p revision, oldest first. */
     virtual void onStoreChanges(std::string_view prefix, std::vector<store_item> changes, std::uint64_t revision) = 0;
 
-    /** All that the store accepted under the prefix up to this moment has been told: it has answered a call that was
-     * made then. That it holds one is no such word, it may be out of reach. */
+    /** Every change that the store accepted under the prefix up to @p asOf has been reported: the store has answered a
+     *  call that was made at that time. A watch that is still being held confirms nothing, because the store may have
+     *  become unreachable. */
     virtual void onStoreCurrent(std::string_view prefix, millis asOf) = 0;
 
-    /** Whether calls are answered; told after the first call and when it changes. */
+    /** @param ok whether the store answers calls. Called after the first call and on each change. */
     virtual void onStoreState(std::string_view prefix, bool ok) = 0;
 };
 
@@ -60,62 +62,62 @@
     store_reader &operator=(const store_reader &) = delete;
     ~store_reader();
 
-    /** @param revision up to which everything is known already; none if the contents must be read first. */
+    /** @param revision up to which all changes are known already; none if the contents must be read first. */
     void start(std::optional<std::uint64_t> revision);
 
-    /** Asks no more until the next start. */
+    /** Makes no further calls until the next @ref start. */
     void stop();
 
-    /** Asks anew on a new connection: this process stood still, what it waits for may never come. */
-    void refresh();
+    /** Calls the store again on a new connection: after a pause of this process a pending answer may never arrive. */
+    void reconnect();
 
     [[nodiscard]] bool isStarted() const
     {
         return m_started;
     }
 
-    /** Calls made since the start. */
+    /** Number of calls made since the process started. */
     [[nodiscard]] std::uint64_t calls() const
     {
         return m_calls;
     }
 
 private:
-    void ask();
+    void issueCall();
     void connect();
     void write();
-    void read(std::uint64_t turn);
+    void read(std::uint64_t generation);
     void onAnswer(const http_response &response);
     void onRange(const http_response &response);
     void onWatch(const http_response &response);
-    void lose(std::string_view cause);
+    void onCallFailed(std::string_view cause);
     void armTimeout(millis limit);
-    void later(millis delay);
+    void scheduleCall(millis delay);
     void closeSocket();
-    void regained();
+    void onStoreAnswered();
 
     boost::asio::io_context &m_reactor;
     store_reader_settings m_settings;
     store_listener &m_listener;
     std::unique_ptr<boost::asio::ip::tcp::socket> m_socket;
     boost::asio::steady_timer m_timeout;
-    boost::asio::steady_timer m_pause;
+    boost::asio::steady_timer m_callTimer;
     response_reader m_reader;
     std::string m_output;
     std::string m_input;
-    std::vector<char> m_chunk;
+    std::vector<char> m_readBuffer;
     bool m_started = false;
-    bool m_watching = false; ///< the contents are known; only changes are asked for
-    std::uint64_t m_revision = 0; ///< up to which everything is known
-    std::string m_after; ///< last key of the pages read so far
-    std::vector<store_item> m_pages;
+    bool m_watching = false; ///< the contents are known; only changes are requested
+    std::uint64_t m_revision = 0; ///< up to which all changes are known
+    std::string m_lastPageKey; ///< last key of the pages read so far; empty before the first page
+    std::vector<store_item> m_pagedItems;
     boot_clock m_clock;
-    millis m_askedAt; ///< for the call under way, or the first of the pages that are being read
-    millis m_wholeBy; ///< what has not come by then is given up
-    std::uint64_t m_turn = 0; ///< rises when what is on its way is given up
+    millis m_calledAt; ///< start of the current call, or of the call for the first page while pages are being read
+    millis m_answerDeadline; ///< a call that is not answered completely by then has failed
+    std::uint64_t m_callGeneration = 0; ///< changes when a call starts or ends; completions of an older one are ignored
     std::uint64_t m_calls = 0;
-    unsigned m_failures = 0; ///< since the last answer
-    bool m_answered = false; ///< since the start or the last failure
+    unsigned m_failures = 0; ///< consecutive failures since the last answer
+    bool m_answered = false; ///< a call was answered since the start or the last failure
     seeded_random m_random;
 };
 
