--- a/libs/query/include/query/query.h
+++ b/libs/query/include/query/query.h
@@ -2,9 +2,9 @@
 
 /**
  * @file
- * The root of a lookup: plans it over the runners, pins one snapshot, collects the shards, gives the one final answer.
- * And the tickets, which make sure that an unrepeatable lookup runs at most once. Pure: events come in with the time,
- * actions come out.
+ * The root of a lookup: it assigns the shards to runners, pins one snapshot, collects the shard replies and produces
+ * the single final answer. Also the tickets that make a non-idempotent lookup run at most once. The code does no I/O
+ * and reads no clock: callers pass in events with the current time and carry out the returned actions.
  */
 
 #include <base/base.h>
@@ -26,95 +26,96 @@
 
 namespace chivelock {
 
-/** Names one waiting caller within this process. */
+/** Identifies one waiting caller within this process. */
 using caller_id = std::uint64_t;
 
-/** A caller's request. */
 struct lookup_request {
     caller_id caller = 0;
     std::string requestId;
     kind_name kind;
-    std::string shardKey; ///< for kinds that go to one shard
+    std::string shardKey; ///< selects the shard, for kinds that query a single shard
     std::string body;
-    millis remaining; ///< the caller's own time limit; the kind's hard limit caps it
-    std::string ticket; ///< for unrepeatable kinds; empty: none yet
-    bool cameBack = false; ///< it was refused before and returns at the time it was told
+    millis remaining; ///< time left until the caller's own limit; capped by the hard limit of the kind
+    std::string ticket; ///< for non-idempotent kinds; empty if the caller has none yet
+    bool cameBack = false; ///< the request was refused before and is retried after the given Retry-After time
 };
 
-/** How the root treats runners; docs/design/ tells the measurements. */
+/** Limits and timeouts of the root. The measurements behind the defaults are in docs/design/. */
 struct root_settings {
-    bool direct = false; ///< run every shard here: the baseline, and the fallback when a runner can't be reached
-    millis ackTimeout {25}; ///< a runner that does not answer a run or a probe for so long is passed by
-    millis avoidStalled {1000}; ///< how long a runner that did not answer gets no new runs
-    std::uint32_t maxRestarts = 2; ///< on a newer snapshot
-    millis admissionMemory {0}; ///< how long one refusal stands for the next lookups of that service and class
-    std::size_t maxLookups = 20000; ///< in hand at once; beyond, refused at once
+    bool direct = false; ///< run every shard in this process (the baseline); otherwise only if a runner is unusable
+    millis ackTimeout {25}; ///< a runner that does not answer a run or a probe within this time counts as stalled
+    millis avoidStalled {1000}; ///< how long a stalled or unreachable runner gets no new runs
+    std::uint32_t maxRestarts = 2; ///< restarts of one lookup on a newer snapshot
+    millis admissionMemory {0}; ///< how long a refusal also applies to new lookups of the same service and priority
+    std::size_t maxLookups = 20000; ///< lookups in flight; further ones are refused immediately
 };
 
-/** Send a message to a peer (or to this process's own runner). */
+/** Action: send a message to a peer or to this process's own runner. */
 struct peer_send {
     vm_id to;
     peer_message message;
 };
 
-/** The final answer to a caller. */
+/** Action: give a caller the final answer. */
 struct caller_answer {
     caller_id caller = 0;
     lookup_answer answer;
 };
 
-/** Ask the platform for the topology now: a leaf knows a newer snapshot. */
+/** Action: fetch the topology from the platform now. The leafs of a shard no longer hold the pinned snapshot and may
+ *  already hold a newer one. */
 struct topology_wanted {
 };
 
 using root_action = std::variant<peer_send, caller_answer, topology_wanted>;
 
-/** Counts for metrics; they only rise. */
+/** Monotonic counters for metrics. */
 struct root_counters {
     std::uint64_t lookups = 0;
-    std::uint64_t staleReplies = 0; ///< late, doubled, or for another attempt: dropped
-    std::uint64_t mismatchedReplies = 0; ///< of another snapshot or map: dropped
-    std::uint64_t restarts = 0; ///< on a newer snapshot
-    std::uint64_t reroutes = 0; ///< shards taken from a runner that did not answer
-    std::uint64_t refusedHere = 0; ///< by limits of this process, before anything was sent
+    std::uint64_t staleReplies = 0; ///< dropped: late, duplicate, or of another attempt
+    std::uint64_t mismatchedReplies = 0; ///< dropped: of another snapshot or map version
+    std::uint64_t restarts = 0; ///< lookups restarted on a newer snapshot
+    std::uint64_t reroutes = 0; ///< shards taken over from a runner that was unresponsive or could not use their leafs
+    std::uint64_t refusedHere = 0; ///< lookups refused by limits of this process before anything was sent
 };
 
-/** Leaves out one guard, so that a test can show what it prevents. Never set by the product. */
+/** Checks that a test can switch off to show what each one prevents. Production code leaves all of them on. */
 struct root_guards {
     bool checkSnapshot = true;
     bool checkAttempt = true;
     bool dropDoubled = true;
 };
 
-/** Joins rows of shards by the rule; at most @p maxRows. */
+/** Merges the rows of all shards by @p rule. @return at most @p maxRows rows. */
 [[nodiscard]] std::vector<result_row>
 mergeRows(merge_rule rule, std::vector<std::vector<result_row>> parts, std::uint32_t maxRows);
 
-/** The shard that a key falls to. @pre shards is not empty. */
+/** @return the shard that stores @p key. @pre @p shards is not empty. */
 [[nodiscard]] shard_id shardOfKey(std::string_view key, std::span<const shard_info> shards);
 
-/** Holds a kind to this process's share of its fleet-wide limits. The share is the limit divided by the listed VMs,
- *  at least one: nothing is agreed between VMs, and both sides of a partition together stay within the limit. */
+/** Limits each kind to this process's share of its fleet-wide limits: the limit divided by the number of listed VMs,
+ *  but at least one. VMs need no coordination for that, and both sides of a network partition together stay within the
+ *  limit, apart from rounding: a VM admits at least one lookup and rounds its in-flight share up. */
 class kind_limiter
 {
 public:
-    /** Takes one lookup in, or @return after what time to come back. */
+    /** Admits one lookup. @return nothing if it is admitted, otherwise the time after which to retry. */
     std::optional<millis> admit(const kind_entry &kind, std::size_t listedVms, millis now);
 
-    /** A lookup that was taken in has ended. */
+    /** Frees the in-flight slot of an admitted lookup that has ended. */
     void release(const kind_name &kind);
 
 private:
-    struct kind_use {
+    struct kind_usage {
         std::uint32_t inFlight = 0;
-        double tokens = -1; ///< below 0: not yet filled
+        double tokens = -1; ///< token bucket; negative before the first fill
         millis refilled;
     };
 
-    std::unordered_map<kind_name, kind_use> m_use;
+    std::unordered_map<kind_name, kind_usage> m_usage;
 };
 
-/** Lookups that this process is the root of. */
+/** Runs the lookups that this process is the root of. */
 class root_engine
 {
 public:
@@ -128,17 +129,17 @@
     void onTopology(const topology_ptr &document, millis now, actions &out);
     void onCatalogue(std::shared_ptr<const catalogue_document> document);
 
-    /** Starts a repeatable lookup; @p members says who runs what. */
+    /** Starts an idempotent lookup. @p members supplies the runners that the shards are assigned to. */
     void submit(const lookup_request &request, const membership &members, millis now, actions &out);
 
     void onAccepted(vm_id from, const run_accepted &accepted, millis now);
     void onReply(vm_id from, const shard_reply &reply, const membership &members, millis now, actions &out);
 
-    /** The runner can't be reached: its shards go elsewhere at once. */
+    /** Moves the waiting shards of an unreachable runner to this process immediately. */
     void onUnreachable(vm_id runner, const membership &members, millis now, actions &out);
     void tick(const membership &members, millis now, actions &out);
 
-    /** Gives every lookup in hand its final answer: the stop's time is up. */
+    /** Gives every lookup in flight its final answer. Called when the time limit of a shutdown is reached. */
     void stopAll(millis now, actions &out);
 
     [[nodiscard]] std::size_t inFlight() const
@@ -146,7 +147,7 @@
         return m_lookups.size();
     }
 
-    /** When @ref tick has something to do next. */
+    /** @return the time at which @ref tick has work to do next. */
     [[nodiscard]] millis nextTimer() const
     {
         return m_timers.empty() ? millis::never() : m_timers.top().at;
@@ -157,7 +158,7 @@
         return m_counters;
     }
 
-    /** Shared with the unrepeatable lookups of this process. */
+    /** The limiter also covers the non-idempotent lookups of this process. */
     [[nodiscard]] kind_limiter &limiter()
     {
         return m_limiter;
@@ -183,8 +184,8 @@
 
     struct runner_progress {
         vm_id vm;
-        millis lastHeard;
-        std::optional<millis> awaitingSince;
+        millis lastMessageAt;
+        std::optional<millis> awaitingAckSince;
         std::size_t outstanding = 0;
     };
 
@@ -204,7 +205,7 @@
         std::uint32_t leafAttempts = 0;
         std::shared_ptr<const std::string> body;
         millis retryAfter;
-        std::size_t refusedShards = 0; ///< by their runners, before any leaf saw them
+        std::size_t refusedShards = 0; ///< refused by their runners before any leaf received them
     };
 
     enum class timer_purpose : std::uint8_t {
@@ -223,13 +224,13 @@
         }
     };
 
-    /** What was refused of late, so that the next lookups are refused before anything is sent. */
-    struct refusal_memory {
-        millis until;
-        millis comeBack;
+    /** A recent refusal by a runner. New lookups are refused because of it before anything is sent. */
+    struct cached_refusal {
+        millis expires;
+        millis retryAt;
     };
 
-    /** One owner for each shard of a service, valid for one map version and membership epoch. */
+    /** The owner of each shard of a service, valid for one map version and membership epoch. */
     struct owner_cache {
         map_version version;
         snapshot_id snapshot;
@@ -237,37 +238,38 @@
         std::vector<vm_id> owners;
     };
 
-    [[nodiscard]] lookup_answer refusal(const lookup_request &request, answer_reason reason, millis retryAfter) const;
+    [[nodiscard]] lookup_answer
+    makeRefusal(const lookup_request &request, answer_reason reason, millis retryAfter) const;
     std::optional<lookup_answer>
     checkLimits(const lookup_request &request, const kind_entry &kind, const membership &members, millis now);
-    std::optional<lookup_answer> pin(lookup &entry);
+    std::optional<lookup_answer> pinSnapshot(lookup &entry);
     void pinShards(lookup &entry, const service_map &map);
     void start(sequence id, const membership &members, millis now, actions &out);
     std::span<const vm_id> ownersOf(const service_map &map, const membership &members);
     [[nodiscard]] vm_id usableRunner(vm_id owner, const membership &members, millis now) const;
     void sendRuns(sequence id, std::span<const shard_id> shards, vm_id runner, millis now, actions &out);
     void onShardOk(sequence id, shard_progress &shard, const shard_reply &reply, millis now, actions &out);
-    void onShardLost(sequence id,
-                     shard_progress &shard,
-                     const shard_reply &reply,
-                     const membership &members,
-                     millis now,
-                     actions &out);
+    void onShardFailed(sequence id,
+                       shard_progress &shard,
+                       const shard_reply &reply,
+                       const membership &members,
+                       millis now,
+                       actions &out);
     static void markMissing(lookup &entry, shard_progress &shard, answer_reason reason);
-    void restart(sequence id, snapshot_id told, const membership &members, millis now, actions &out);
-    bool repin(lookup &entry, snapshot_id told);
-    void noteRefusal(const lookup &entry, const shard_reply &reply, millis now);
+    void restart(sequence id, snapshot_id heldSnapshot, const membership &members, millis now, actions &out);
+    bool repinSnapshot(lookup &entry, snapshot_id heldSnapshot);
+    void cacheRefusal(const lookup &entry, const shard_reply &reply, millis now);
     void cancelRuns(const lookup &entry, sequence id, actions &out) const;
     void reroute(sequence id, vm_id from, millis now, actions &out);
     void checkLiveness(sequence id, const membership &members, millis now, actions &out);
     void finishIfDone(sequence id, millis now, actions &out);
     [[nodiscard]] static bool coverageSuffices(const lookup &entry);
     void finish(sequence id, lookup_outcome outcome, answer_reason reason, millis now, actions &out);
-    [[nodiscard]] static answer_reason commonReason(const lookup &entry);
-    static runner_progress &runnerOf(lookup &entry, vm_id vm, millis now);
+    [[nodiscard]] static answer_reason firstMissingReason(const lookup &entry);
+    static runner_progress &findOrAddRunner(lookup &entry, vm_id vm, millis now);
     [[nodiscard]] request_key keyOf(sequence id) const;
-    void forgivePause(millis now);
-    shard_progress *findWaiting(lookup &entry, const shard_reply &reply);
+    void restartAckTimeouts(millis now);
+    shard_progress *findWaitingShard(lookup &entry, const shard_reply &reply);
 
     vm_id m_self;
     std::uint64_t m_incarnation;
@@ -279,66 +281,66 @@
     std::unordered_map<sequence, lookup> m_lookups;
     std::unordered_map<vm_id, millis> m_stalledUntil;
     kind_limiter m_limiter;
-    std::map<service_name, std::array<refusal_memory, 2>> m_refusals;
+    std::map<service_name, std::array<cached_refusal, 2>> m_cachedRefusals;
     std::map<service_name, owner_cache> m_owners;
-    std::map<service_name, snapshot_id> m_toldSnapshots; ///< newer than published, as leafs told
+    std::map<service_name, snapshot_id> m_reportedSnapshots; ///< reported by leafs and newer than published
     millis m_lastTick;
     std::priority_queue<timer, std::vector<timer>, std::greater<>> m_timers;
     root_counters m_counters;
-    sequence m_next = 1;
+    sequence m_nextSequence = 1;
 };
 
-/** The parts of a ticket; the text form is what callers hold. */
+/** The fields of a ticket. Callers hold the ticket as text. */
 struct ticket_parts {
     vm_id issuer;
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
-    millis expires; ///< instant of the issuer's clock
+    millis expires; ///< by the issuer's clock
 };
 
-/** Reads the parts without checking that they are genuine, so that any VM knows whom to ask. */
+/** Parses a ticket without verifying its signature, so that any VM can find the issuer and forward the ticket to it. */
 [[nodiscard]] std::optional<ticket_parts> parseTicket(std::string_view ticket);
 
 struct ticket_settings {
-    std::size_t capacity = 50000; ///< tickets kept at once; beyond, none is issued
+    std::size_t capacity = 50000; ///< tickets stored; no ticket is issued beyond this number
     millis lifetime {600000};
-    bool onlyIssuer = true; ///< false only in tests that show what binding a ticket to its issuer prevents
+    bool onlyIssuer = true; ///< reject tickets of other issuers; false only in tests that show what this prevents
 };
 
-/** What the holder of a ticket may do now. */
+/** Result of presenting a ticket. */
 enum class ticket_verdict : std::uint8_t {
-    Start, ///< unused: this request may run, now and only now
+    Start, ///< first use: this request may run now, and only this once
     Running,
-    Done, ///< the stored answer stands
-    Voided, ///< never ran and never will
-    Unknown, ///< not this incarnation's, expired or forged
-    Mismatch ///< used for another request
+    Done, ///< the run has ended and its answer is stored
+    Voided, ///< the request never ran and never will
+    Unknown, ///< of another issuer or incarnation, expired, or forged
+    Mismatch ///< already used for another request
 };
 
-/** Tickets of one incarnation of one process. A ticket starts at most one run, ever. */
+/** The tickets issued by one incarnation of one process. A ticket starts at most one run, ever. */
 class ticket_book
 {
 public:
-    /** @param key secret bytes that live only in this process. */
+    /** @param key secret bytes that are kept only in the memory of this process. */
     ticket_book(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings);
 
-    /** @return a new ticket, nothing if the table is full or issuing has stopped. */
+    /** @return a new ticket, or nothing if the table is full or @ref stop was called. */
     std::optional<std::string> issue(millis now);
 
-    /** Marks the ticket as running if the verdict is @ref ticket_verdict::Start.
-     *  @param digest of kind, key and body: a ticket belongs to the first request that uses it. */
+    /** Presents a ticket, and marks it as running if the verdict is @ref ticket_verdict::Start.
+     *  @param digest of kind, key and body; never 0. It binds the ticket to the first request that uses it. */
     ticket_verdict use(std::string_view ticket, std::uint64_t digest, millis now);
 
-    /** Stores how the run of ticket @p number ended. */
+    /** Stores the final answer of the run of ticket @p number. */
     void finish(std::uint64_t number, lookup_answer answer);
 
-    /** The run did not happen, by proof: the ticket is void for ever. */
+    /** Voids ticket @p number permanently. Called only when it is proven that its request did not run. */
     void makeVoid(std::uint64_t number, lookup_answer answer);
 
-    /** The answer of a done or void ticket. */
+    /** @return the stored answer of a done or voided ticket. */
     [[nodiscard]] const lookup_answer *answerOf(std::uint64_t number) const;
 
-    /** No ticket is issued from now on, and none that is unused may start. */
+    /** From now on, no ticket is issued and no unused ticket may start a run. */
     void stop();
 
     void forgetExpired(millis now);
@@ -369,15 +371,14 @@
     std::uint64_t m_incarnation;
     std::string m_key;
     ticket_settings m_settings;
-    std::map<std::uint64_t, record> m_records; ///< by number, so the oldest comes first
+    std::map<std::uint64_t, record> m_records; ///< by ticket number, oldest first
     std::uint64_t m_nextNumber = 1;
     bool m_stopped = false;
 };
 
-/** The answer as the JSON document that callers get. */
+/** @return the answer as the JSON document sent to callers. */
 [[nodiscard]] std::string writeAnswer(const lookup_answer &answer);
 
-/** The HTTP status that goes with an answer. */
 [[nodiscard]] std::uint16_t httpStatusOf(const lookup_answer &answer);
 
 } // namespace chivelock
--- a/libs/query/src/answer.cpp
+++ b/libs/query/src/answer.cpp
@@ -12,13 +12,13 @@
 constexpr std::uint16_t badRequestStatus = 400;
 constexpr std::uint16_t notFoundStatus = 404;
 constexpr std::uint16_t conflictStatus = 409;
-constexpr std::uint16_t needsTicketStatus = 428;
-constexpr std::uint16_t tooManyStatus = 429;
-constexpr std::uint16_t unavailableStatus = 503;
-constexpr std::uint16_t timeoutStatus = 504;
+constexpr std::uint16_t preconditionRequiredStatus = 428;
+constexpr std::uint16_t tooManyRequestsStatus = 429;
+constexpr std::uint16_t serviceUnavailableStatus = 503;
+constexpr std::uint16_t gatewayTimeoutStatus = 504;
 
-/** Data that a leaf sent as JSON stays JSON; anything else is passed on as text. */
-nlohmann::json dataOf(const std::string &data)
+/** Parses row data that is valid JSON; any other data becomes a JSON string. */
+nlohmann::json parseRowData(const std::string &data)
 {
     nlohmann::json parsed = nlohmann::json::parse(data, nullptr, false);
     return parsed.is_discarded() ? nlohmann::json(data) : parsed;
@@ -44,7 +44,7 @@
         json["missing"].push_back({{"shard", shard.shard.value}, {"reason", toString(shard.reason)}});
     }
     for (const result_row &row : answer.rows) {
-        json["rows"].push_back({{"id", row.id}, {"score", row.score}, {"data", dataOf(row.data)}});
+        json["rows"].push_back({{"id", row.id}, {"score", row.score}, {"data", parseRowData(row.data)}});
     }
     if (answer.reason != answer_reason::None) {
         json["reason"] = toString(answer.reason);
@@ -72,16 +72,16 @@
     case answer_reason::UnknownKind:
         return notFoundStatus;
     case answer_reason::NeedsTicket:
-        return needsTicketStatus;
+        return preconditionRequiredStatus;
     case answer_reason::TicketMismatch:
     case answer_reason::Running:
         return conflictStatus;
     case answer_reason::KindLimit:
-        return tooManyStatus;
+        return tooManyRequestsStatus;
     case answer_reason::Expired:
-        return timeoutStatus;
+        return gatewayTimeoutStatus;
     default:
-        return unavailableStatus;
+        return serviceUnavailableStatus;
     }
 }
 
--- a/libs/query/src/kind_limiter.cpp
+++ b/libs/query/src/kind_limiter.cpp
@@ -8,31 +8,31 @@
 {
     constexpr double burstSeconds = 0.1;
     constexpr double millisPerSecond = 1000;
-    require(listedVms > 0, "a limit is divided among at least one VM");
-    const auto share = [listedVms](std::uint32_t limit) {
+    require(listedVms > 0, "a fleet-wide limit needs at least one listed VM to be shared among");
+    const auto shareOf = [listedVms](std::uint32_t limit) {
         return std::max(1.0, static_cast<double>(limit) / static_cast<double>(listedVms));
     };
-    kind_use &use = m_use[kind.name];
-    const double perSecond = share(kind.maxPerSecond);
+    kind_usage &usage = m_usage[kind.name];
+    const double perSecond = shareOf(kind.maxPerSecond);
     const double burst = std::max(1.0, perSecond * burstSeconds);
-    const double refill = (now - use.refilled).count() / millisPerSecond * perSecond;
-    use.tokens = use.tokens < 0 ? burst : std::min(burst, use.tokens + refill);
-    use.refilled = now;
-    if (use.inFlight >= share(kind.maxInFlight)) {
+    const double refill = (now - usage.refilled).count() / millisPerSecond * perSecond;
+    usage.tokens = usage.tokens < 0 ? burst : std::min(burst, usage.tokens + refill);
+    usage.refilled = now;
+    if (usage.inFlight >= shareOf(kind.maxInFlight)) {
         return kind.softLimit;
     }
-    if (use.tokens < 1) {
-        return millis((1 - use.tokens) / perSecond * millisPerSecond);
+    if (usage.tokens < 1) {
+        return millis((1 - usage.tokens) / perSecond * millisPerSecond);
     }
-    use.tokens -= 1;
-    ++use.inFlight;
+    usage.tokens -= 1;
+    ++usage.inFlight;
     return std::nullopt;
 }
 
 void kind_limiter::release(const kind_name &kind)
 {
-    kind_use &use = m_use[kind];
-    use.inFlight -= std::min(use.inFlight, 1U);
+    kind_usage &usage = m_usage[kind];
+    usage.inFlight -= std::min(usage.inFlight, 1U);
 }
 
 } // namespace chivelock
--- a/libs/query/src/merge.cpp
+++ b/libs/query/src/merge.cpp
@@ -26,7 +26,7 @@
 
 shard_id shardOfKey(std::string_view key, std::span<const shard_info> shards)
 {
-    require(!shards.empty(), "shardOfKey needs a shard");
+    require(!shards.empty(), "shardOfKey needs at least one shard");
     return shards[XXH3_64bits(key.data(), key.size()) % shards.size()].id;
 }
 
--- a/libs/query/src/root_engine.cpp
+++ b/libs/query/src/root_engine.cpp
@@ -25,12 +25,12 @@
     return answer_reason::LeafsFailed;
 }
 
-/** When to come back if nobody gave a time. */
-millis defaultAdvice(answer_reason reason)
+/** The Retry-After time of an answer for which no runner gave one. */
+millis defaultRetryAfter(answer_reason reason)
 {
     constexpr millis afterTimeout {250};
-    constexpr millis afterLoss {1000};
-    return reason == answer_reason::Expired || reason == answer_reason::Overloaded ? afterTimeout : afterLoss;
+    constexpr millis afterFailure {1000};
+    return reason == answer_reason::Expired || reason == answer_reason::Overloaded ? afterTimeout : afterFailure;
 }
 
 } // namespace
@@ -48,7 +48,7 @@
 void root_engine::onTopology(const topology_ptr &document, millis /*now*/, actions & /*out*/)
 {
     m_topology = document;
-    std::erase_if(m_toldSnapshots, [&document](const auto &item) {
+    std::erase_if(m_reportedSnapshots, [&document](const auto &item) {
         const service_map *map = document->findService(item.first);
         return map == nullptr || map->snapshot >= item.second;
     });
@@ -66,7 +66,7 @@
     if (kind == nullptr) {
         const answer_reason reason =
             m_catalogue->revision == 0 ? answer_reason::NoCatalogue : answer_reason::UnknownKind;
-        out.emplace_back(caller_answer {request.caller, refusal(request, reason, defaultAdvice(reason))});
+        out.emplace_back(caller_answer {request.caller, makeRefusal(request, reason, defaultRetryAfter(reason))});
         return;
     }
     if (std::optional<lookup_answer> refused = checkLimits(request, *kind, members, now)) {
@@ -81,12 +81,12 @@
     entry.deadline = now + std::min(request.remaining, kind->hardLimit);
     entry.softDeadline = now + std::min(request.remaining, kind->softLimit);
     entry.body = std::make_shared<std::string>(request.body);
-    if (std::optional<lookup_answer> refused = pin(entry)) {
+    if (std::optional<lookup_answer> refused = pinSnapshot(entry)) {
         m_limiter.release(kind->name);
         out.emplace_back(caller_answer {request.caller, *std::move(refused)});
         return;
     }
-    const sequence id = m_next++;
+    const sequence id = m_nextSequence++;
     m_timers.push({entry.deadline, timer_purpose::Hard, id});
     if (!kind->wholeOnly && entry.softDeadline < entry.deadline) {
         m_timers.push({entry.softDeadline, timer_purpose::Soft, id});
@@ -102,9 +102,9 @@
     if (found == m_lookups.end() || accepted.key != keyOf(found->first) || accepted.attempt != found->second.attempt) {
         return;
     }
-    runner_progress &runner = runnerOf(found->second, from, now);
-    runner.lastHeard = now;
-    runner.awaitingSince.reset();
+    runner_progress &runner = findOrAddRunner(found->second, from, now);
+    runner.lastMessageAt = now;
+    runner.awaitingAckSince.reset();
 }
 
 void root_engine::onReply(vm_id from, const shard_reply &reply, const membership &members, millis now, actions &out)
@@ -112,20 +112,20 @@
     const auto found = m_lookups.find(reply.key.sequence);
     const bool known = found != m_lookups.end() && reply.key == keyOf(found->first);
     if (!known || (m_guards.checkAttempt && reply.attempt != found->second.attempt)) {
-        // An earlier attempt ran on another snapshot; its rows in this answer would mix two states of the index.
+        // An earlier attempt ran on another snapshot. Its rows would mix two states of the index in one answer.
         ++m_counters.staleReplies;
         return;
     }
     lookup &entry = found->second;
     onAccepted(from, {reply.key, reply.attempt}, now);
-    shard_progress *shard = findWaiting(entry, reply);
+    shard_progress *shard = findWaitingShard(entry, reply);
     if (shard == nullptr) {
         ++m_counters.staleReplies;
         return;
     }
     entry.leafAttempts += reply.attempts;
     if (reply.status != shard_status::Ok) {
-        onShardLost(found->first, *shard, reply, members, now, out);
+        onShardFailed(found->first, *shard, reply, members, now, out);
         return;
     }
     const bool pinned = reply.snapshot == entry.snapshot && reply.version == entry.version;
@@ -139,22 +139,23 @@
 void root_engine::onUnreachable(vm_id runner, const membership & /*members*/, millis now, actions &out)
 {
     m_stalledUntil[runner] = now + m_settings.avoidStalled;
-    std::vector<sequence> touched;
+    std::vector<sequence> affected;
     for (const auto &[id, entry] : m_lookups) {
         if (std::ranges::find(entry.runners, runner, &runner_progress::vm) != entry.runners.end()) {
-            touched.push_back(id);
+            affected.push_back(id);
         }
     }
-    std::ranges::sort(touched);
-    std::ranges::for_each(touched, [&](sequence id) { reroute(id, runner, now, out); });
+    std::ranges::sort(affected);
+    std::ranges::for_each(affected, [&](sequence id) { reroute(id, runner, now, out); });
 }
 
 void root_engine::tick(const membership &members, millis now, actions &out)
 {
-    // Above the tick's own round by far, so that a busy moment is not taken for a sleep and runners are still judged.
-    constexpr double pauseFactor = 4;
-    if (now - m_lastTick > m_settings.ackTimeout * pauseFactor) {
-        forgivePause(now);
+    // Far above the tick interval, so that a short overload of this process does not count as a process pause, which
+    // would suspend the detection of stalled runners.
+    constexpr double pauseThresholdFactor = 4;
+    if (now - m_lastTick > m_settings.ackTimeout * pauseThresholdFactor) {
+        restartAckTimeouts(now);
     }
     m_lastTick = now;
     while (!m_timers.empty() && m_timers.top().at <= now) {
@@ -196,7 +197,7 @@
     }
 }
 
-lookup_answer root_engine::refusal(const lookup_request &request, answer_reason reason, millis retryAfter) const
+lookup_answer root_engine::makeRefusal(const lookup_request &request, answer_reason reason, millis retryAfter) const
 {
     lookup_answer answer;
     answer.requestId = request.requestId;
@@ -214,26 +215,26 @@
 root_engine::checkLimits(const lookup_request &request, const kind_entry &kind, const membership &members, millis now)
 {
     if (m_lookups.size() >= m_settings.maxLookups) {
-        return refusal(request, answer_reason::Overloaded, defaultAdvice(answer_reason::Overloaded));
+        return makeRefusal(request, answer_reason::Overloaded, defaultRetryAfter(answer_reason::Overloaded));
     }
-    const refusal_memory &memory = m_refusals[kind.service].at(static_cast<std::size_t>(kind.priority));
-    if (now < memory.until) {
-        return refusal(request, answer_reason::Overloaded, std::max(memory.comeBack - now, memory.until - now));
+    const cached_refusal &cached = m_cachedRefusals[kind.service].at(static_cast<std::size_t>(kind.priority));
+    if (now < cached.expires) {
+        return makeRefusal(request, answer_reason::Overloaded, std::max(cached.retryAt - now, cached.expires - now));
     }
     if (const std::optional<millis> wait = m_limiter.admit(kind, members.listedCount(), now)) {
-        return refusal(request, answer_reason::KindLimit, *wait);
+        return makeRefusal(request, answer_reason::KindLimit, *wait);
     }
     return std::nullopt;
 }
 
-std::optional<lookup_answer> root_engine::pin(lookup &entry)
+std::optional<lookup_answer> root_engine::pinSnapshot(lookup &entry)
 {
     const service_map *map = m_topology ? m_topology->findService(entry.kind.service) : nullptr;
     if (map == nullptr) {
-        return refusal(entry.request, answer_reason::NoTopology, defaultAdvice(answer_reason::NoTopology));
+        return makeRefusal(entry.request, answer_reason::NoTopology, defaultRetryAfter(answer_reason::NoTopology));
     }
-    const auto told = m_toldSnapshots.find(map->name);
-    entry.snapshot = told != m_toldSnapshots.end() ? std::max(map->snapshot, told->second) : map->snapshot;
+    const auto reported = m_reportedSnapshots.find(map->name);
+    entry.snapshot = reported != m_reportedSnapshots.end() ? std::max(map->snapshot, reported->second) : map->snapshot;
     pinShards(entry, *map);
     return std::nullopt;
 }
@@ -263,8 +264,8 @@
     const std::span<const vm_id> owners = ownersOf(map, members);
     std::map<vm_id, std::vector<shard_id>> plan;
     for (const shard_progress &shard : entry.shards) {
-        const auto place = std::ranges::lower_bound(map.shards, shard.id, {}, &shard_info::id) - map.shards.begin();
-        plan[usableRunner(owners[static_cast<std::size_t>(place)], members, now)].push_back(shard.id);
+        const auto index = std::ranges::lower_bound(map.shards, shard.id, {}, &shard_info::id) - map.shards.begin();
+        plan[usableRunner(owners[static_cast<std::size_t>(index)], members, now)].push_back(shard.id);
     }
     for (const auto &[runner, shards] : plan) {
         sendRuns(id, shards, runner, now, out);
@@ -295,9 +296,9 @@
     for (const shard_id shard : shards) {
         std::ranges::lower_bound(entry.shards, shard, {}, &shard_progress::id)->runner = runner;
     }
-    runner_progress &progress = runnerOf(entry, runner, now);
+    runner_progress &progress = findOrAddRunner(entry, runner, now);
     progress.outstanding += shards.size();
-    progress.awaitingSince = now;
+    progress.awaitingAckSince = now;
     run_shards run;
     run.key = keyOf(id);
     run.attempt = entry.attempt;
@@ -314,7 +315,7 @@
     out.emplace_back(peer_send {runner, std::move(run)});
 }
 
-root_engine::shard_progress *root_engine::findWaiting(lookup &entry, const shard_reply &reply)
+root_engine::shard_progress *root_engine::findWaitingShard(lookup &entry, const shard_reply &reply)
 {
     const auto shard = std::ranges::lower_bound(entry.shards, reply.shard, {}, &shard_progress::id);
     if (shard == entry.shards.end() || shard->id != reply.shard) {
@@ -330,11 +331,11 @@
     shard.rows.insert(shard.rows.end(), reply.rows.begin(), reply.rows.end());
     entry.waiting -= std::min<std::size_t>(entry.waiting, 1);
     entry.covered += 1;
-    --runnerOf(entry, shard.runner, now).outstanding;
+    --findOrAddRunner(entry, shard.runner, now).outstanding;
     finishIfDone(id, now, out);
 }
 
-void root_engine::onShardLost(
+void root_engine::onShardFailed(
     sequence id, shard_progress &shard, const shard_reply &reply, const membership &members, millis now, actions &out)
 {
     lookup &entry = m_lookups.at(id);
@@ -342,31 +343,31 @@
         restart(id, reply.heldSnapshot, members, now, out);
         return;
     }
-    const bool leafTrouble = reply.status == shard_status::NoLeaf || reply.status == shard_status::LeafFailed;
-    if (leafTrouble && shard.runner != m_self && shard.reroutes == 0) {
-        // That runner may be cut off from leafs that this process can reach.
-        --runnerOf(entry, shard.runner, now).outstanding;
+    const bool leafsUnusable = reply.status == shard_status::NoLeaf || reply.status == shard_status::LeafFailed;
+    if (leafsUnusable && shard.runner != m_self && shard.reroutes == 0) {
+        // The runner may be partitioned from leafs that this process can reach, so the shard is run here once.
+        --findOrAddRunner(entry, shard.runner, now).outstanding;
         ++shard.reroutes;
         ++m_counters.reroutes;
-        const shard_id again = shard.id;
-        sendRuns(id, std::span(&again, 1), m_self, now, out);
+        const shard_id rerouted = shard.id;
+        sendRuns(id, std::span(&rerouted, 1), m_self, now, out);
         return;
     }
     if (reply.status == shard_status::Overloaded) {
         ++entry.refusedShards;
         entry.retryAfter = std::max(entry.retryAfter, reply.retryAfter);
-        noteRefusal(entry, reply, now);
+        cacheRefusal(entry, reply, now);
     }
-    --runnerOf(entry, shard.runner, now).outstanding;
+    --findOrAddRunner(entry, shard.runner, now).outstanding;
     markMissing(entry, shard, reasonOf(reply.status));
     finishIfDone(id, now, out);
 }
 
-void root_engine::noteRefusal(const lookup &entry, const shard_reply &reply, millis now)
+void root_engine::cacheRefusal(const lookup &entry, const shard_reply &reply, millis now)
 {
-    refusal_memory &memory = m_refusals[entry.kind.service].at(static_cast<std::size_t>(entry.kind.priority));
-    memory.until = std::max(memory.until, now + std::min(m_settings.admissionMemory, reply.retryAfter));
-    memory.comeBack = std::max(memory.comeBack, now + reply.retryAfter);
+    cached_refusal &cached = m_cachedRefusals[entry.kind.service].at(static_cast<std::size_t>(entry.kind.priority));
+    cached.expires = std::max(cached.expires, now + std::min(m_settings.admissionMemory, reply.retryAfter));
+    cached.retryAt = std::max(cached.retryAt, now + reply.retryAfter);
 }
 
 void root_engine::markMissing(lookup &entry, shard_progress &shard, answer_reason reason)
@@ -376,38 +377,38 @@
     --entry.waiting;
 }
 
-void root_engine::restart(sequence id, snapshot_id told, const membership &members, millis now, actions &out)
+void root_engine::restart(sequence id, snapshot_id heldSnapshot, const membership &members, millis now, actions &out)
 {
     lookup &entry = m_lookups.at(id);
     out.emplace_back(topology_wanted {});
-    const bool triesLeft = entry.attempt <= m_settings.maxRestarts;
-    const lookup before = entry;
-    if (!triesLeft || !repin(entry, told)) {
+    const bool attemptsLeft = entry.attempt <= m_settings.maxRestarts;
+    const lookup previous = entry;
+    if (!attemptsLeft || !repinSnapshot(entry, heldSnapshot)) {
         finish(id, lookup_outcome::Failed, answer_reason::SnapshotGone, now, out);
         return;
     }
     ++m_counters.restarts;
-    cancelRuns(before, id, out);
+    cancelRuns(previous, id, out);
     ++entry.attempt;
     start(id, members, now, out);
 }
 
-bool root_engine::repin(lookup &entry, snapshot_id told)
+bool root_engine::repinSnapshot(lookup &entry, snapshot_id heldSnapshot)
 {
     const service_map *map = m_topology->findService(entry.kind.service);
     if (map == nullptr) {
         return false;
     }
     const bool publishedDiffers = map->snapshot > entry.snapshot || map->version != entry.version;
-    const snapshot_id wanted = publishedDiffers ? std::max(map->snapshot, told) : told;
-    if (wanted.value == 0 || (wanted == entry.snapshot && map->version == entry.version)) {
+    const snapshot_id target = publishedDiffers ? std::max(map->snapshot, heldSnapshot) : heldSnapshot;
+    if (target.value == 0 || (target == entry.snapshot && map->version == entry.version)) {
         return false;
     }
-    if (wanted > map->snapshot) {
-        snapshot_id &known = m_toldSnapshots[map->name];
-        known = std::max(known, wanted);
+    if (target > map->snapshot) {
+        snapshot_id &newest = m_reportedSnapshots[map->name];
+        newest = std::max(newest, target);
     }
-    entry.snapshot = wanted;
+    entry.snapshot = target;
     pinShards(entry, *map);
     return true;
 }
@@ -424,23 +425,23 @@
 void root_engine::reroute(sequence id, vm_id from, millis now, actions &out)
 {
     lookup &entry = m_lookups.at(id);
-    std::vector<shard_id> taken;
+    std::vector<shard_id> rerouted;
     for (shard_progress &shard : entry.shards) {
         if (shard.phase == shard_phase::Waiting && shard.runner == from && from != m_self) {
             ++shard.reroutes;
-            taken.push_back(shard.id);
+            rerouted.push_back(shard.id);
         }
     }
-    if (taken.empty()) {
+    if (rerouted.empty()) {
         return;
     }
-    m_counters.reroutes += taken.size();
-    runner_progress &lost = runnerOf(entry, from, now);
-    lost.outstanding = 0;
-    lost.awaitingSince.reset();
-    // If it only slept, it should not run on wake-up what is being run here.
+    m_counters.reroutes += rerouted.size();
+    runner_progress &stalled = findOrAddRunner(entry, from, now);
+    stalled.outstanding = 0;
+    stalled.awaitingAckSince.reset();
+    // If the runner was only paused, it must not run these shards when it resumes: this process now runs them.
     out.emplace_back(peer_send {from, run_cancel {keyOf(id), entry.attempt}});
-    sendRuns(id, taken, m_self, now, out);
+    sendRuns(id, rerouted, m_self, now, out);
 }
 
 void root_engine::checkLiveness(sequence id, const membership & /*members*/, millis now, actions &out)
@@ -451,10 +452,10 @@
         if (runner.outstanding == 0 || runner.vm == m_self) {
             continue;
         }
-        if (runner.awaitingSince && now - *runner.awaitingSince >= m_settings.ackTimeout) {
+        if (runner.awaitingAckSince && now - *runner.awaitingAckSince >= m_settings.ackTimeout) {
             stalled.push_back(runner.vm);
-        } else if (!runner.awaitingSince && now - runner.lastHeard >= m_settings.ackTimeout) {
-            runner.awaitingSince = now;
+        } else if (!runner.awaitingAckSince && now - runner.lastMessageAt >= m_settings.ackTimeout) {
+            runner.awaitingAckSince = now;
             out.emplace_back(peer_send {runner.vm, run_probe {keyOf(id), entry.attempt}});
         }
     }
@@ -465,13 +466,13 @@
     m_timers.push({now + m_settings.ackTimeout, timer_purpose::Liveness, id});
 }
 
-void root_engine::forgivePause(millis now)
+void root_engine::restartAckTimeouts(millis now)
 {
-    // While this process slept it could read no ack; blaming the runners would send all their shards out once more.
+    // A paused process reads no acks. If the pause counted against the runners, all their shards would be sent again.
     for (auto &[id, entry] : m_lookups) {
         for (runner_progress &runner : entry.runners) {
-            if (runner.awaitingSince) {
-                runner.awaitingSince = now;
+            if (runner.awaitingAckSince) {
+                runner.awaitingAckSince = now;
             }
         }
     }
@@ -488,16 +489,16 @@
         finish(id, lookup_outcome::Partial, answer_reason::None, now, out);
         return;
     }
-    const std::size_t lost = entry.shards.size() - entry.covered - entry.waiting;
-    const double bestCoverage = 1.0 - static_cast<double>(lost) / static_cast<double>(entry.shards.size());
-    const bool hopeless = lost > 0 && (entry.kind.wholeOnly || bestCoverage < entry.kind.minCoverage);
-    if (hopeless || entry.waiting == 0) {
+    const std::size_t missing = entry.shards.size() - entry.covered - entry.waiting;
+    const double bestCoverage = 1.0 - static_cast<double>(missing) / static_cast<double>(entry.shards.size());
+    const bool insufficient = missing > 0 && (entry.kind.wholeOnly || bestCoverage < entry.kind.minCoverage);
+    if (insufficient || entry.waiting == 0) {
         const bool allRefused = entry.refusedShards == entry.shards.size();
-        const lookup_outcome given = allRefused ? lookup_outcome::NotRun : lookup_outcome::Failed;
-        const bool partial = !hopeless && coverageSuffices(entry);
+        const lookup_outcome failure = allRefused ? lookup_outcome::NotRun : lookup_outcome::Failed;
+        const bool partial = !insufficient && coverageSuffices(entry);
         finish(id,
-               partial ? lookup_outcome::Partial : given,
-               partial ? answer_reason::None : commonReason(entry),
+               partial ? lookup_outcome::Partial : failure,
+               partial ? answer_reason::None : firstMissingReason(entry),
                now,
                out);
     }
@@ -509,7 +510,7 @@
     return !entry.kind.wholeOnly && entry.covered > 0 && coverage >= entry.kind.minCoverage;
 }
 
-answer_reason root_engine::commonReason(const lookup &entry)
+answer_reason root_engine::firstMissingReason(const lookup &entry)
 {
     const auto missing = std::ranges::find(entry.shards, shard_phase::Missing, &shard_progress::phase);
     return missing != entry.shards.end() ? missing->reason : answer_reason::Expired;
@@ -521,7 +522,7 @@
     m_lookups.erase(id);
     m_limiter.release(entry.kind.name);
     cancelRuns(entry, id, out);
-    lookup_answer answer = refusal(entry.request, reason, std::max(entry.retryAfter, defaultAdvice(reason)));
+    lookup_answer answer = makeRefusal(entry.request, reason, std::max(entry.retryAfter, defaultRetryAfter(reason)));
     answer.outcome = outcome;
     answer.snapshot = entry.snapshot;
     answer.version = entry.version;
@@ -535,8 +536,9 @@
             answer.covered.push_back(shard.id);
             parts.push_back(std::move(shard.rows));
         } else {
-            const answer_reason why = shard.reason == answer_reason::None ? answer_reason::Expired : shard.reason;
-            answer.missing.push_back({shard.id, why});
+            const answer_reason missingReason =
+                shard.reason == answer_reason::None ? answer_reason::Expired : shard.reason;
+            answer.missing.push_back({shard.id, missingReason});
         }
     }
     if (answered) {
@@ -545,7 +547,7 @@
     out.emplace_back(caller_answer {entry.request.caller, std::move(answer)});
 }
 
-root_engine::runner_progress &root_engine::runnerOf(lookup &entry, vm_id vm, millis now)
+root_engine::runner_progress &root_engine::findOrAddRunner(lookup &entry, vm_id vm, millis now)
 {
     const auto found = std::ranges::find(entry.runners, vm, &runner_progress::vm);
     if (found != entry.runners.end()) {
--- a/libs/query/src/tickets.cpp
+++ b/libs/query/src/tickets.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 constexpr char separator = '.';
-constexpr std::size_t partCount = 4;
+constexpr std::size_t ticketFieldCount = 4;
 
 template<typename number>
-bool readNumber(std::string_view text, number &value)
+bool parseNumber(std::string_view text, number &value)
 {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     return error == std::errc() && end == text.data() + text.size();
 }
 
-std::string hexOf(std::span<const unsigned char> bytes)
+std::string toHex(std::span<const unsigned char> bytes)
 {
     constexpr std::string_view digits = "0123456789abcdef";
     constexpr unsigned lowBits = 0xf;
@@ -33,13 +33,12 @@
     return text;
 }
 
-/** The signed part, then the signature. */
 struct split_ticket {
     std::string_view signedPart;
     std::string_view signature;
 };
 
-std::optional<split_ticket> split(std::string_view ticket)
+std::optional<split_ticket> splitTicket(std::string_view ticket)
 {
     const std::size_t last = ticket.rfind(separator);
     if (last == std::string_view::npos) {
@@ -57,15 +56,15 @@
 
 std::optional<ticket_parts> parseTicket(std::string_view ticket)
 {
-    const std::optional<split_ticket> halves = split(ticket);
-    if (!halves) {
+    const std::optional<split_ticket> ticketAndSignature = splitTicket(ticket);
+    if (!ticketAndSignature) {
         return std::nullopt;
     }
-    std::array<std::string_view, partCount> fields;
-    std::string_view rest = halves->signedPart;
-    for (std::size_t index = 0; index < partCount; ++index) {
+    std::array<std::string_view, ticketFieldCount> fields;
+    std::string_view rest = ticketAndSignature->signedPart;
+    for (std::size_t index = 0; index < ticketFieldCount; ++index) {
         const std::size_t end = rest.find(separator);
-        const bool isLast = index + 1 == partCount;
+        const bool isLast = index + 1 == ticketFieldCount;
         if (isLast != (end == std::string_view::npos)) {
             return std::nullopt;
         }
@@ -74,10 +73,10 @@
     }
     ticket_parts parts;
     std::int64_t expiresMicros = 0;
-    const bool readable = readNumber(fields[0], parts.issuer.value) && readNumber(fields[1], parts.incarnation)
-        && readNumber(fields[2], parts.number) && readNumber(fields[3], expiresMicros);
+    const bool isNumeric = parseNumber(fields[0], parts.issuer.value) && parseNumber(fields[1], parts.incarnation)
+        && parseNumber(fields[2], parts.number) && parseNumber(fields[3], expiresMicros);
     parts.expires = millis::fromMicros(expiresMicros);
-    return readable ? std::optional(parts) : std::nullopt;
+    return isNumeric ? std::optional(parts) : std::nullopt;
 }
 
 ticket_book::ticket_book(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings)
@@ -86,7 +85,7 @@
     , m_key(std::move(key))
     , m_settings(settings)
 {
-    require(!m_key.empty(), "a ticket book needs a secret key");
+    require(!m_key.empty(), "the secret key of the ticket table must not be empty");
 }
 
 std::optional<std::string> ticket_book::issue(millis now)
@@ -106,19 +105,20 @@
 ticket_verdict ticket_book::use(std::string_view ticket, std::uint64_t digest, millis now)
 {
     const std::optional<ticket_parts> parts = parseTicket(ticket);
-    const std::optional<split_ticket> halves = split(ticket);
-    const bool ours = parts && parts->issuer == m_self && parts->incarnation == m_incarnation;
-    if (!m_settings.onlyIssuer && parts && !ours) {
-        const auto [copied, isNew] = m_records.try_emplace(parts->number);
-        copied->second.expires = now + m_settings.lifetime;
-        copied->second.state = record_state::Running;
+    const std::optional<split_ticket> ticketAndSignature = splitTicket(ticket);
+    const bool issuedHere = parts && parts->issuer == m_self && parts->incarnation == m_incarnation;
+    if (!m_settings.onlyIssuer && parts && !issuedHere) {
+        const auto [foreign, isNew] = m_records.try_emplace(parts->number);
+        foreign->second.expires = now + m_settings.lifetime;
+        foreign->second.state = record_state::Running;
         return isNew ? ticket_verdict::Start : ticket_verdict::Running;
     }
-    if (!ours || !equalInConstantTime(halves->signature, sign(halves->signedPart))) {
+    if (!issuedHere || !equalInConstantTime(ticketAndSignature->signature, sign(ticketAndSignature->signedPart))) {
         return ticket_verdict::Unknown;
     }
     const auto found = m_records.find(parts->number);
-    // Expiry is judged at the moment of use by this clock: a process that slept must not start what was given up.
+    // Expiry is checked at the time of use, against this process's clock: a process that resumes after a pause must
+    // not start the run of a ticket that expired during the pause, because that run has been given up by then.
     if (found == m_records.end() || now >= found->second.expires) {
         return ticket_verdict::Unknown;
     }
@@ -175,8 +175,8 @@
 
 void ticket_book::forgetExpired(millis now)
 {
-    // Numbers rise with time and all live equally long, so the expired ones come first. A running one is kept: its
-    // late result must still find it.
+    // Ticket numbers increase with the time of issue and all tickets have the same lifetime, so expired tickets come
+    // first. A running ticket is kept, because its late result must still find the record.
     while (!m_records.empty() && now >= m_records.begin()->second.expires
            && m_records.begin()->second.state != record_state::Running) {
         m_records.erase(m_records.begin());
@@ -194,7 +194,7 @@
          text.size(),
          bytes.data(),
          &length);
-    return hexOf(std::span(bytes).first(length));
+    return toHex(std::span(bytes).first(length));
 }
 
 } // namespace chivelock
--- a/libs/query/tests/test_query.cpp
+++ b/libs/query/tests/test_query.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-constexpr std::uint32_t shards = 4;
+constexpr std::uint32_t shardCount = 4;
 
-/** A root with one peer that runs some of the shards. */
-struct one_root {
-    explicit one_root(root_settings settings = {})
+/** A root in a fleet of two VMs; the other VM runs some of the shards. */
+struct root_fixture {
+    explicit root_fixture(root_settings settings = {})
         : members({1}, 1, {}, 1)
         , engine({1}, 1, settings, 1)
     {
         members.onList(*readVmList(fakes::vmListText(1, 2)));
-        topology(1, 1);
+        publishTopology(1, 1);
         engine.onCatalogue(std::make_shared<catalogue_document>(*readCatalogue(fakes::catalogueText(1))));
     }
 
-    void topology(std::uint64_t revision, std::uint32_t snapshot)
+    void publishTopology(std::uint64_t revision, std::uint32_t snapshot)
     {
         const std::string text =
-            fakes::topologyText(revision, {{"search", shards, 2, 2, snapshot, 1}, {"desk", 2, 2, 2, 1, 1}});
+            fakes::topologyText(revision, {{"search", shardCount, 2, 2, snapshot, 1}, {"desk", 2, 2, 2, 1, 1}});
         engine.onTopology(std::make_shared<topology_document>(*readTopology(text)), now, out);
     }
 
-    void ask(const std::string &kind)
+    void submit(const std::string &kind)
     {
         lookup_request request;
         request.caller = 7;
@@ -44,7 +44,7 @@
         run_shards run;
     };
 
-    [[nodiscard]] std::vector<sent_run> runs() const
+    [[nodiscard]] std::vector<sent_run> sentRuns() const
     {
         std::vector<sent_run> found;
         for (const root_action &action : out) {
@@ -56,18 +56,21 @@
         return found;
     }
 
-    [[nodiscard]] std::optional<lookup_answer> answer() const
+    [[nodiscard]] std::optional<lookup_answer> finalAnswer() const
     {
         for (const root_action &action : out) {
-            if (const auto *held = std::get_if<caller_answer>(&action)) {
-                return held->answer;
+            if (const auto *sent = std::get_if<caller_answer>(&action)) {
+                return sent->answer;
             }
         }
         return std::nullopt;
     }
 
-    void
-    reply(const sent_run &run, shard_id shard, shard_status status, std::uint32_t snapshot = 0, std::uint32_t held = 0)
+    void reply(const sent_run &run,
+               shard_id shard,
+               shard_status status,
+               std::uint32_t snapshot = 0,
+               std::uint32_t heldSnapshot = 0)
     {
         shard_reply message;
         message.key = run.run.key;
@@ -76,7 +79,7 @@
         message.status = status;
         message.snapshot = snapshot == 0 ? run.run.snapshot : snapshot_id {snapshot};
         message.version = run.run.version;
-        message.heldSnapshot = {held};
+        message.heldSnapshot = {heldSnapshot};
         message.retryAfter = millis(20);
         message.rows = {{"row-" + std::to_string(shard.value), 1.0 / (1 + shard.value), "{}"}};
         engine.onReply(run.to, message, members, now, out);
@@ -84,7 +87,7 @@
 
     void replyAll(shard_status status)
     {
-        for (const sent_run &run : runs()) {
+        for (const sent_run &run : sentRuns()) {
             std::ranges::for_each(run.run.shards, [&](shard_id shard) { reply(run, shard, status); });
         }
     }
@@ -95,14 +98,14 @@
     root_engine::actions out;
 };
 
-ticket_book book(std::uint32_t vm = 1, std::uint64_t incarnation = 5, ticket_settings settings = {})
+ticket_book makeTickets(std::uint32_t vm = 1, std::uint64_t incarnation = 5, ticket_settings settings = {})
 {
     return {{vm}, incarnation, "secret", settings};
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(rows_merge_by_score_and_limit)
+BOOST_AUTO_TEST_CASE(rows_merge_by_rule_up_to_the_row_limit)
 {
     const std::vector<result_row> left = {{"a", 0.9, ""}, {"b", 0.1, ""}};
     const std::vector<result_row> right = {{"c", 0.5, ""}, {"d", 0.9, ""}};
@@ -113,67 +116,67 @@
     BOOST_TEST(mergeRows(merge_rule::Concatenate, {left, right}, 10).back().id == "d");
 }
 
-BOOST_AUTO_TEST_CASE(whole_answer_names_every_shard_of_one_snapshot)
+BOOST_AUTO_TEST_CASE(complete_answer_covers_every_shard)
 {
-    one_root root;
-    root.ask("whole");
-    BOOST_TEST(root.runs().size() == 2); // both runners
+    root_fixture root;
+    root.submit("whole");
+    BOOST_TEST(root.sentRuns().size() == 2); // both runners
     root.replyAll(shard_status::Ok);
-    const auto answer = root.answer();
+    const auto answer = root.finalAnswer();
     BOOST_REQUIRE(answer.has_value());
     BOOST_TEST((answer->outcome == lookup_outcome::Whole));
-    BOOST_TEST(answer->covered.size() == shards);
+    BOOST_TEST(answer->covered.size() == shardCount);
     BOOST_TEST(answer->missing.empty());
     BOOST_TEST(answer->rows.front().id == "row-0");
     BOOST_TEST(root.engine.inFlight() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(all_refused_by_their_runners_is_not_run_and_some_refused_is_failed)
+BOOST_AUTO_TEST_CASE(lookup_fails_when_refused_shards_rule_out_sufficient_coverage)
 {
-    one_root all;
-    all.ask("partial");
+    root_fixture all;
+    all.submit("partial");
     all.replyAll(shard_status::Overloaded);
-    BOOST_TEST((all.answer()->outcome == lookup_outcome::Failed)); // hopeless before the last shard had been refused
-    one_root single;
-    single.ask("whole");
-    const auto runs = single.runs();
+    BOOST_TEST((all.finalAnswer()->outcome == lookup_outcome::Failed)); // fails before its last shard is refused
+    root_fixture single;
+    single.submit("whole");
+    const auto runs = single.sentRuns();
     single.reply(runs.front(), runs.front().run.shards.front(), shard_status::Overloaded);
-    BOOST_REQUIRE(single.answer().has_value());
-    BOOST_TEST((single.answer()->outcome == lookup_outcome::Failed));
-    BOOST_TEST((single.answer()->retryAfter >= millis(20)));
+    BOOST_REQUIRE(single.finalAnswer().has_value());
+    BOOST_TEST((single.finalAnswer()->outcome == lookup_outcome::Failed));
+    BOOST_TEST((single.finalAnswer()->retryAfter >= millis(20)));
 }
 
-BOOST_AUTO_TEST_CASE(refusal_stands_for_the_next_lookups_before_anything_is_sent)
+BOOST_AUTO_TEST_CASE(cached_refusal_rejects_the_next_lookup_before_anything_is_sent)
 {
     root_settings settings;
     settings.admissionMemory = millis(15);
-    one_root root(settings);
-    root.ask("whole");
-    const auto runs = root.runs();
+    root_fixture root(settings);
+    root.submit("whole");
+    const auto runs = root.sentRuns();
     root.reply(runs.front(), runs.front().run.shards.front(), shard_status::Overloaded);
     root.out.clear();
-    root.ask("whole");
-    BOOST_TEST(root.runs().empty());
-    BOOST_TEST((root.answer()->outcome == lookup_outcome::NotRun));
-    BOOST_TEST((root.answer()->retryAfter > millis()));
+    root.submit("whole");
+    BOOST_TEST(root.sentRuns().empty());
+    BOOST_TEST((root.finalAnswer()->outcome == lookup_outcome::NotRun));
+    BOOST_TEST((root.finalAnswer()->retryAfter > millis()));
 }
 
-BOOST_AUTO_TEST_CASE(partial_answer_at_the_soft_limit_names_what_is_missing)
+BOOST_AUTO_TEST_CASE(partial_answer_at_the_soft_limit_lists_missing_shards)
 {
-    one_root root;
-    root.ask("partial");
-    const auto runs = root.runs();
-    std::size_t given = 0;
+    root_fixture root;
+    root.submit("partial");
+    const auto runs = root.sentRuns();
+    std::size_t replied = 0;
     for (const auto &run : runs) {
         for (const shard_id shard : run.run.shards) {
-            if (given++ < 2) {
+            if (replied++ < 2) {
                 root.reply(run, shard, shard_status::Ok);
             }
         }
     }
     root.now = root.now + millis(100);
     root.engine.tick(root.members, root.now, root.out);
-    const auto answer = root.answer();
+    const auto answer = root.finalAnswer();
     BOOST_REQUIRE(answer.has_value());
     BOOST_TEST((answer->outcome == lookup_outcome::Partial));
     BOOST_TEST(answer->covered.size() == 2);
@@ -181,62 +184,59 @@
     BOOST_TEST(answer->rows.size() == 2);
 }
 
-// Symptom: a supervisor sees rows of yesterday's index beside today's.
-// Sequence: one shard no longer holds the pinned snapshot; the lookup restarts on the newer one; a late reply of the
-// first attempt arrives.
-// Cause: joining parts of different attempts.
-BOOST_AUTO_TEST_CASE(restart_drops_all_earlier_parts)
+// Guards against an answer that mixes rows of an old and a new snapshot of the index. The leafs of one shard no longer
+// hold the pinned snapshot, the lookup restarts on the newer one, and a late reply of the first attempt arrives.
+BOOST_AUTO_TEST_CASE(restart_discards_rows_of_earlier_attempts)
 {
-    one_root root;
-    root.ask("whole");
-    const auto first = root.runs();
-    root.topology(2, 2);
+    root_fixture root;
+    root.submit("whole");
+    const auto first = root.sentRuns();
+    root.publishTopology(2, 2);
     root.reply(first[0], first[0].run.shards[0], shard_status::Ok);
     root.reply(first[0], first[0].run.shards[1], shard_status::SnapshotGone, 0, 2);
     root.out.erase(root.out.begin(), root.out.begin() + static_cast<std::ptrdiff_t>(first.size()));
-    const auto second = root.runs();
+    const auto second = root.sentRuns();
     BOOST_TEST(second.front().run.snapshot.value == 2);
     BOOST_TEST(second.front().run.attempt == 2);
-    root.reply(first[1], first[1].run.shards[0], shard_status::Ok); // late, of the first attempt
+    root.reply(first[1], first[1].run.shards[0], shard_status::Ok); // late reply of the first attempt
     BOOST_TEST(root.engine.counters().staleReplies >= 1);
-    BOOST_TEST(!root.answer().has_value());
+    BOOST_TEST(!root.finalAnswer().has_value());
     root.replyAll(shard_status::Ok);
-    BOOST_TEST((root.answer()->outcome == lookup_outcome::Whole));
-    BOOST_TEST(root.answer()->snapshot.value == 2);
-    BOOST_TEST(root.answer()->rows.size() == shards);
+    BOOST_TEST((root.finalAnswer()->outcome == lookup_outcome::Whole));
+    BOOST_TEST(root.finalAnswer()->snapshot.value == 2);
+    BOOST_TEST(root.finalAnswer()->rows.size() == shardCount);
 }
 
-BOOST_AUTO_TEST_CASE(doubled_and_foreign_replies_are_dropped)
+BOOST_AUTO_TEST_CASE(duplicate_and_mismatched_replies_are_dropped)
 {
-    one_root root;
-    root.ask("whole");
-    const auto runs = root.runs();
+    root_fixture root;
+    root.submit("whole");
+    const auto runs = root.sentRuns();
     root.reply(runs[0], runs[0].run.shards[0], shard_status::Ok);
     root.reply(runs[0], runs[0].run.shards[0], shard_status::Ok);
     root.reply(runs[0], {99}, shard_status::Ok);
     root.reply(runs[1], runs[1].run.shards[0], shard_status::Ok, 8);
     BOOST_TEST(root.engine.counters().staleReplies == 2);
     BOOST_TEST(root.engine.counters().mismatchedReplies == 1);
-    BOOST_TEST(!root.answer().has_value());
+    BOOST_TEST(!root.finalAnswer().has_value());
 }
 
-// Symptom: lookups hang until their limit after a runner froze, with its connection still open.
-// Sequence: the runner takes the run and never answers.
-// Cause: waiting for the connection to break.
-BOOST_AUTO_TEST_CASE(shards_of_a_silent_runner_are_run_here)
+// Guards against lookups that hang until their time limit because a runner froze while its connection stayed open:
+// the runner receives the run and never answers, and waiting for the connection to break would take too long.
+BOOST_AUTO_TEST_CASE(shards_of_an_unresponsive_runner_are_run_locally)
 {
-    one_root root;
+    root_fixture root;
     root.engine.tick(root.members, root.now, root.out);
-    root.ask("whole");
+    root.submit("whole");
     root.out.clear();
     root.now = root.now + millis(25);
     root.engine.tick(root.members, root.now, root.out);
-    const auto again = root.runs();
-    BOOST_REQUIRE(again.size() == 1);
-    BOOST_TEST(again.front().to.value == 1);
+    const auto rerouted = root.sentRuns();
+    BOOST_REQUIRE(rerouted.size() == 1);
+    BOOST_TEST(rerouted.front().to.value == 1);
     root.out.clear();
-    root.ask("whole"); // The next lookup does not try it either.
-    BOOST_TEST(root.runs().size() == 1);
+    root.submit("whole"); // The next lookup sends the stalled runner nothing either.
+    BOOST_TEST(root.sentRuns().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(kind_limit_is_divided_among_the_listed_vms)
@@ -256,7 +256,7 @@
     BOOST_TEST(!limiter.admit(kind, 4, millis(1001)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(rate_limit_tells_when_to_come_back)
+BOOST_AUTO_TEST_CASE(rate_limit_returns_the_time_until_the_next_token)
 {
     kind_entry kind;
     kind.name = {"k"};
@@ -272,7 +272,7 @@
 
 BOOST_AUTO_TEST_CASE(ticket_starts_one_run)
 {
-    ticket_book tickets = book();
+    ticket_book tickets = makeTickets();
     const std::string ticket = *tickets.issue(millis(1000));
     BOOST_TEST((tickets.use(ticket, 1, millis(1001)) == ticket_verdict::Start));
     BOOST_TEST((tickets.use(ticket, 1, millis(1002)) == ticket_verdict::Running));
@@ -284,15 +284,14 @@
     BOOST_TEST(tickets.answerOf(parseTicket(ticket)->number)->detail == "done");
 }
 
-// Symptom: a claim runs twice after a process restarted.
-// Sequence: a ticket is issued and used, the process restarts, the caller tries again with the same ticket.
-// Cause: a new incarnation that takes itself for the old one.
-BOOST_AUTO_TEST_CASE(other_incarnations_vms_and_forged_tickets_start_nothing)
+// Guards against a non-idempotent request (a claim) that runs twice. A ticket is issued and used, the process restarts,
+// the caller retries with the same ticket, and the new incarnation must not treat the ticket as its own.
+BOOST_AUTO_TEST_CASE(foreign_and_forged_tickets_start_no_run)
 {
-    ticket_book first = book(1, 5);
+    ticket_book first = makeTickets(1, 5);
     const std::string ticket = *first.issue(millis(1000));
-    ticket_book restarted = book(1, 6);
-    ticket_book other = book(2, 5);
+    ticket_book restarted = makeTickets(1, 6);
+    ticket_book other = makeTickets(2, 5);
     BOOST_TEST((restarted.use(ticket, 1, millis(1001)) == ticket_verdict::Unknown));
     BOOST_TEST((other.use(ticket, 1, millis(1001)) == ticket_verdict::Unknown));
     std::string forged = ticket;
@@ -302,11 +301,11 @@
     BOOST_TEST((first.use("1.5.x.9.ab", 1, millis(1001)) == ticket_verdict::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(expiry_is_judged_at_use_and_voided_stays_voided)
+BOOST_AUTO_TEST_CASE(expiry_is_checked_at_use_and_voided_tickets_stay_voided)
 {
     ticket_settings settings;
     settings.lifetime = millis(100);
-    ticket_book tickets = book(1, 5, settings);
+    ticket_book tickets = makeTickets(1, 5, settings);
     const std::string ticket = *tickets.issue(millis(1000));
     BOOST_TEST((tickets.use(ticket, 1, millis(1100)) == ticket_verdict::Unknown));
     const std::string second = *tickets.issue(millis(1000));
@@ -315,11 +314,11 @@
     BOOST_TEST((tickets.use(second, 1, millis(1002)) == ticket_verdict::Voided));
 }
 
-BOOST_AUTO_TEST_CASE(full_table_and_stop_issue_nothing)
+BOOST_AUTO_TEST_CASE(full_or_stopped_table_issues_no_ticket)
 {
     ticket_settings settings;
     settings.capacity = 2;
-    ticket_book tickets = book(1, 5, settings);
+    ticket_book tickets = makeTickets(1, 5, settings);
     const std::string unused = *tickets.issue(millis(1000));
     BOOST_TEST(tickets.issue(millis(1000)).has_value());
     BOOST_TEST(!tickets.issue(millis(1000)).has_value());
@@ -328,7 +327,7 @@
     BOOST_TEST(!tickets.issue(millis(900000)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(answers_map_to_http)
+BOOST_AUTO_TEST_CASE(answers_map_to_http_status_and_json)
 {
     lookup_answer answer;
     answer.outcome = lookup_outcome::Partial;
