--- a/libs/fleet/tests/fleet_world.h
+++ b/libs/fleet/tests/fleet_world.h
@@ -2,8 +2,9 @@
 
 /**
  * @file
- * A fleet of processes among a store in virtual time: links with a delay and a rate, processors that are busy, a store
- * that takes time, is silent, or turns some away. Every message goes through the codec.
+ * Simulates a fleet of processes and the store in virtual time: links with latency and bandwidth, processors with
+ * limited throughput, and a store that responds with a delay, refuses calls or leaves them unanswered. Every message is
+ * encoded and decoded by the wire codec.
  */
 
 #include <fleet/fleet.h>
@@ -21,18 +22,18 @@
 
 inline const std::string prefix = "p/";
 
-/** What the world is like. */
+/** Parameters of a simulated fleet. */
 struct fleet_world_settings {
-    std::size_t nodes = 8;
-    std::size_t zones = 1;
+    std::size_t nodeCount = 8;
+    std::size_t zoneCount = 1;
     std::size_t fanOut = 8;
-    millis startSpread {}; ///< nodes start one after the other within this time, in any order
-    millis delay {1}; ///< one way
-    double linkBytesPerMs = 1e9; ///< of a node's own link, each way
-    millis workPerMessage {}; ///< of a node's processor, for a message or a new connection
-    double workBytesPerMs = 1e9; ///< and for the bytes of it
-    millis storeTime {4}; ///< until the store answers
-    millis storePatience {500}; ///< after which a call without an answer has failed
+    millis startSpread {}; ///< each node starts at a random time within this interval
+    millis oneWayDelay {1}; ///< between two nodes
+    double linkBytesPerMs = 1e9; ///< bandwidth of a node's link, in each direction
+    millis cpuTimePerMessage {}; ///< processor time of a node for a message or a new connection
+    double cpuBytesPerMs = 1e9; ///< rate at which a node's processor handles the bytes of messages
+    millis storeLatency {4}; ///< from a call to the store until it responds
+    millis storeCallTimeout {500}; ///< a call that the store has not answered by then fails
     millis drawInterval {60};
     std::uint64_t seed = 1;
 };
@@ -40,8 +41,8 @@
 class fleet_world
 {
 public:
-    explicit fleet_world(std::size_t nodes, std::size_t fanOut = 8)
-        : fleet_world(fleet_world_settings {.nodes = nodes, .fanOut = fanOut})
+    explicit fleet_world(std::size_t nodeCount, std::size_t fanOut = 8)
+        : fleet_world(fleet_world_settings {.nodeCount = nodeCount, .fanOut = fanOut})
     {
     }
 
@@ -49,29 +50,29 @@
         : m_settings(settings)
         , m_random(settings.seed)
     {
-        m_nodes.resize(settings.nodes);
-        for (std::size_t at = 0; at < settings.nodes; ++at) {
-            start(at, m_now + settings.startSpread * m_random.uniform());
+        m_processes.resize(settings.nodeCount);
+        for (std::size_t index = 0; index < settings.nodeCount; ++index) {
+            start(index, m_now + settings.startSpread * m_random.uniform());
         }
     }
 
-    static std::string addressOf(std::size_t at)
+    static std::string addressOf(std::size_t index)
     {
-        return "10.0." + std::to_string(at / 250) + "." + std::to_string(at % 250) + ":1";
+        return "10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":1";
     }
 
-    [[nodiscard]] zone_name zoneOf(std::size_t at) const
+    [[nodiscard]] zone_name zoneOf(std::size_t index) const
     {
-        return {"zone" + std::to_string(at % m_settings.zones)};
+        return {"zone" + std::to_string(index % m_settings.zoneCount)};
     }
 
     void write(const std::string &key, const std::string &value)
     {
         m_store[key] = {key, ++m_revision, value.empty(), value};
         m_writtenAt[m_revision] = m_now;
-        for (std::size_t at = 0; at < m_nodes.size(); ++at) {
-            if (m_nodes[at].reading && m_nodes[at].answered) {
-                readLater(at);
+        for (std::size_t index = 0; index < m_processes.size(); ++index) {
+            if (m_processes[index].reading && m_processes[index].storeAnswered) {
+                scheduleStoreRead(index);
             }
         }
     }
@@ -88,196 +89,202 @@
         m_now = end;
     }
 
-    /** What comes meanwhile waits, in its order. */
-    void freeze(std::size_t at, bool frozen)
+    /** Pauses or resumes the process of a node. Messages that arrive during the pause are handled afterwards, in order.
+     */
+    void setPaused(std::size_t index, bool paused)
     {
-        m_nodes[at].frozen = frozen;
-        if (!frozen) {
-            for (auto &[bytes, what] : std::exchange(m_nodes[at].waiting, {})) {
-                onProcessor(at, bytes, std::move(what));
+        m_processes[index].paused = paused;
+        if (!paused) {
+            for (auto &[bytes, task] : std::exchange(m_processes[index].pausedTasks, {})) {
+                runOnProcessor(index, bytes, std::move(task));
             }
         }
     }
 
-    /** @return of the nodes that run, those that take themselves for current as of a moment by which the store had
-     *  accepted what they don't know. */
-    [[nodiscard]] std::size_t falselyCurrent() const
+    /** @return the number of running nodes whose store freshness is false: they report being current as of a time by
+     *  which the store had accepted an update that they do not have. */
+    [[nodiscard]] std::size_t countFalselyCurrent() const
     {
-        return countIf([&](const member &one) {
-            return !one.frozen && std::ranges::any_of(m_store, [&](const auto &item) {
-                const store_view::held *held = one.node->view(prefix).find(item.first);
+        return countNodes([&](const simulated_process &process) {
+            return !process.paused && std::ranges::any_of(m_store, [&](const auto &item) {
+                const store_view::held *held = process.node->view(prefix).find(item.first);
                 const bool known = item.second.deleted || (held != nullptr && held->revision >= item.second.revision);
-                return !known && m_writtenAt.at(item.second.revision) + wayOfWord < one.node->currentAsOf();
+                return !known && m_writtenAt.at(item.second.revision) + storeUpdateDelay < process.node->currentAsOf();
             });
         });
     }
 
-    /** @return the age of what the node knows that is least current; of those that run. */
-    [[nodiscard]] millis oldestCurrent() const
+    /** @return the age of the store freshness of the running node that lags most. */
+    [[nodiscard]] millis maxFreshnessAge() const
     {
-        millis oldest;
-        for (const member &one : m_nodes) {
-            if (one.node && !one.frozen) {
-                oldest = std::max(oldest, m_now - one.node->currentAsOf());
+        millis maxAge;
+        for (const simulated_process &process : m_processes) {
+            if (process.node && !process.paused) {
+                maxAge = std::max(maxAge, m_now - process.node->currentAsOf());
             }
         }
-        return oldest;
+        return maxAge;
     }
 
-    /** The process is gone; its connections end. */
-    void kill(std::size_t at)
+    /** Ends the process of a node at once; its connections are closed. */
+    void kill(std::size_t index)
     {
         std::vector<link_id> links;
-        for (const auto &[key, one] : m_ends) {
-            if (key.first == at) {
+        for (const auto &[key, end] : m_linkEnds) {
+            if (key.first == index) {
                 links.push_back(key.second);
             }
         }
-        std::ranges::for_each(links, [&](link_id link) { hangUp(at, link); });
-        m_nodes[at] = {};
+        std::ranges::for_each(links, [&](link_id link) { closeLink(index, link); });
+        m_processes[index] = {};
     }
 
-    /** The process has been told to stop; it ends with @ref kill. */
-    void leave(std::size_t at)
+    /** Tells a node to stop. Its process runs until @ref kill. */
+    void leave(std::size_t index)
     {
-        m_nodes[at].node->leave(m_now);
-        collect(at);
+        m_processes[index].node->leave(m_now);
+        performActions(index);
     }
 
-    /** All processes end and start again, each within @p spread after @p pause. */
+    /** Kills all processes and starts each at a random time within @p spread after @p pause. */
     void restartAll(millis pause, millis spread)
     {
-        for (std::size_t at = 0; at < m_nodes.size(); ++at) {
-            kill(at);
+        for (std::size_t index = 0; index < m_processes.size(); ++index) {
+            kill(index);
         }
-        for (std::size_t at = 0; at < m_nodes.size(); ++at) {
-            start(at, m_now + pause + spread * m_random.uniform());
+        for (std::size_t index = 0; index < m_processes.size(); ++index) {
+            start(index, m_now + pause + spread * m_random.uniform());
         }
     }
 
-    void start(std::size_t at, millis when)
+    void start(std::size_t index, millis when)
     {
-        const std::uint64_t life = ++m_nodes[at].life;
-        later(when, [this, at, life] {
-            if (m_nodes[at].life == life) {
-                begin(at);
+        const std::uint64_t incarnation = ++m_processes[index].incarnation;
+        schedule(when, [this, index, incarnation] {
+            if (m_processes[index].incarnation == incarnation) {
+                startProcess(index);
             }
         });
     }
 
-    /** The store no longer answers the node. @param silent it says nothing instead of turning it away. */
-    void cutFromStore(std::size_t at, bool cut, bool silent = false)
+    /** Makes the store unavailable to a node, or available again. @param unresponsive calls time out instead of being
+     *  refused. */
+    void setStoreUnavailable(std::size_t index, bool unavailable, bool unresponsive = false)
     {
-        m_nodes[at].storeCut = cut;
-        m_nodes[at].storeSilent = silent;
-        if (!m_nodes[at].node || !m_nodes[at].node->isReading()) {
+        m_processes[index].storeUnavailable = unavailable;
+        m_processes[index].storeUnresponsive = unresponsive;
+        if (!m_processes[index].node || !m_processes[index].node->isReading()) {
             return;
         }
-        if (cut) {
-            m_nodes[at].answered = false;
-            m_nodes[at].node->onStoreState(prefix, false, m_now);
-            collect(at);
+        if (unavailable) {
+            m_processes[index].storeAnswered = false;
+            m_processes[index].node->onStoreState(prefix, false, m_now);
+            performActions(index);
         }
-        callLater(at, m_settings.storeTime);
+        scheduleStoreCall(index, m_settings.storeLatency);
     }
 
-    /** Cuts the first nodes off from the rest, silently. */
-    void split(std::size_t first)
+    /** Drops all messages between the first @p count nodes and the rest, without closing links; 0 ends the partition.
+     */
+    void partition(std::size_t count)
     {
-        m_splitAt = first;
+        m_partitionSize = count;
     }
 
-    /** Changes what the next messages of items carry on their way; for faults. */
-    std::function<void(store_items &)> spoil = [](store_items &) {};
+    /** Modifies each store update that is sent, to inject faults. */
+    std::function<void(store_items &)> corruptItems = [](store_items &) {};
 
-    [[nodiscard]] std::size_t readers() const
+    [[nodiscard]] std::size_t countReaders() const
     {
-        return countIf([](const member &one) { return one.node->isReading() && !one.frozen; });
+        return countNodes(
+            [](const simulated_process &process) { return process.node->isReading() && !process.paused; });
     }
 
-    [[nodiscard]] std::size_t holders(const std::string &key) const
+    [[nodiscard]] std::size_t countHolders(const std::string &key) const
     {
         const auto item = m_store.find(key);
         const std::uint64_t revision = item == m_store.end() ? 0 : item->second.revision;
-        return countIf([&](const member &one) {
-            const store_view::held *held = one.node->view(prefix).find(key);
+        return countNodes([&](const simulated_process &process) {
+            const store_view::held *held = process.node->view(prefix).find(key);
             return held != nullptr && held->revision == revision && held->value == item->second.value;
         });
     }
 
-    /** Links of the tree that cross into another zone. */
-    [[nodiscard]] std::size_t crossingLinks() const
+    /** @return the number of tree links between nodes of different zones. */
+    [[nodiscard]] std::size_t countCrossZoneLinks() const
     {
-        std::size_t crossing = 0;
-        for (const auto &[key, end] : m_ends) {
-            const bool dialled = key.second < firstIncoming;
-            crossing += dialled && end.open && zoneOf(key.first) != zoneOf(end.peer) ? 1 : 0;
+        std::size_t crossZoneLinks = 0;
+        for (const auto &[key, end] : m_linkEnds) {
+            const bool isDiallingEnd = key.second < firstIncomingLink;
+            crossZoneLinks += isDiallingEnd && end.open && zoneOf(key.first) != zoneOf(end.peer) ? 1 : 0;
         }
-        return crossing;
+        return crossZoneLinks;
     }
 
-    [[nodiscard]] const fleet_node &node(std::size_t at) const
+    [[nodiscard]] const fleet_node &node(std::size_t index) const
     {
-        return *m_nodes[at].node;
+        return *m_processes[index].node;
     }
 
-    void report(std::size_t at, const std::string &leafId, double slowness)
+    void report(std::size_t index, const std::string &leafId, double slowness)
     {
         const std::vector<leaf_report> reports = {{digestOf(leafId), 0, slowness, false, m_now}};
-        m_nodes[at].node->report(reports);
+        m_processes[index].node->report(reports);
     }
 
-    /** A node finds out that leafs ended under an attempt, and tells. */
-    void accuse(std::size_t at,
-                const request_fingerprint &key,
-                attempt_tag attempt,
-                std::span<const leaf_digest> leafs,
-                bool alone)
+    /** Records at a node that leafs crashed while they ran an attempt, and sends the evidence to the fleet. */
+    void recordCrashes(std::size_t index,
+                       const request_fingerprint &key,
+                       attempt_tag attempt,
+                       std::span<const leaf_digest> leafs,
+                       bool alone)
     {
-        member &one = m_nodes[at];
-        one.ledger.addEnds(key, 0, attempt, leafs, alone, m_now);
-        tellRequests(at);
+        simulated_process &process = m_processes[index];
+        process.ledger.addEnds(key, 0, attempt, leafs, alone, m_now);
+        sendRequestEvidence(index);
     }
 
-    void clear(std::size_t at, const request_fingerprint &key)
+    void recordAnswer(std::size_t index, const request_fingerprint &key)
     {
-        m_nodes[at].ledger.addAnswer(key, m_now);
-        tellRequests(at);
+        m_processes[index].ledger.addAnswer(key, m_now);
+        sendRequestEvidence(index);
     }
 
-    /** @return of the nodes that run, those for which the request has this standing. */
-    [[nodiscard]] std::size_t standing(const request_fingerprint &key, request_standing as) const
+    /** @return the number of running nodes that assign this quarantine state to the request. */
+    [[nodiscard]] std::size_t countInQuarantineState(const request_fingerprint &key, request_standing state) const
     {
-        return countIf([&](const member &one) { return one.ledger.standingOf(key, m_now) == as; });
+        return countNodes(
+            [&](const simulated_process &process) { return process.ledger.standingOf(key, m_now) == state; });
     }
 
-    void forgetUnwarned()
+    void clearMissedEvidence()
     {
-        std::ranges::for_each(m_nodes, [](member &one) { one.unwarned.clear(); });
+        std::ranges::for_each(m_processes, [](simulated_process &process) { process.missedEvidence.clear(); });
     }
 
-    /** @return nodes that began to know the store's word without what others knew of requests. */
-    [[nodiscard]] std::size_t servedUnwarned(const request_fingerprint &key) const
+    /** @return the number of running nodes that received their first full contents before the evidence about the
+     * request that other nodes already had. */
+    [[nodiscard]] std::size_t countWithMissedEvidence(const request_fingerprint &key) const
     {
-        return countIf([&](const member &one) { return one.unwarned.contains(key); });
+        return countNodes([&](const simulated_process &process) { return process.missedEvidence.contains(key); });
     }
 
-    /** Reports that a node has heard. */
-    [[nodiscard]] const std::vector<leaf_report> &reportsAt(std::size_t at) const
+    /** @return the leaf reports that a node has received from other nodes. */
+    [[nodiscard]] const std::vector<leaf_report> &receivedReportsAt(std::size_t index) const
     {
-        return m_nodes[at].reports;
+        return m_processes[index].receivedReports;
     }
 
-    /** @return what a node has heard of a key since its start, in order. */
-    [[nodiscard]] std::string heardOf(std::size_t at, const std::string &key) const
+    /** @return the values of a key that a node has received since its start, in order, separated by commas. */
+    [[nodiscard]] std::string valuesReceived(std::size_t index, const std::string &key) const
     {
-        const auto found = m_nodes[at].heard.find(key);
-        return found == m_nodes[at].heard.end() ? std::string() : found->second;
+        const auto found = m_processes[index].valuesByKey.find(key);
+        return found == m_processes[index].valuesByKey.end() ? std::string() : found->second;
     }
 
-    [[nodiscard]] std::size_t membersAt(std::size_t at) const
+    [[nodiscard]] std::size_t memberCountAt(std::size_t index) const
     {
-        return m_nodes[at].members;
+        return m_processes[index].memberCount;
     }
 
     [[nodiscard]] millis now() const
@@ -285,68 +292,75 @@
         return m_now;
     }
 
-    [[nodiscard]] std::size_t mostFollowers() const
+    [[nodiscard]] std::size_t maxFollowers() const
     {
         std::map<std::size_t, std::size_t> counts;
-        for (const auto &[key, end] : m_ends) {
-            counts[key.first] += key.second >= firstIncoming ? 1 : 0;
+        for (const auto &[key, end] : m_linkEnds) {
+            counts[key.first] += key.second >= firstIncomingLink ? 1 : 0;
         }
-        std::size_t most = 0;
-        std::ranges::for_each(counts, [&](const auto &one) { most = std::max(most, one.second); });
-        return most;
+        std::size_t maximum = 0;
+        std::ranges::for_each(counts, [&](const auto &entry) { maximum = std::max(maximum, entry.second); });
+        return maximum;
     }
 
-    [[nodiscard]] std::size_t followersOf(std::size_t at) const
+    [[nodiscard]] std::size_t countFollowers(std::size_t index) const
     {
-        return static_cast<std::size_t>(std::ranges::count_if(
-            m_ends, [at](const auto &one) { return one.first.first == at && one.first.second >= firstIncoming; }));
+        return static_cast<std::size_t>(std::ranges::count_if(m_linkEnds, [index](const auto &entry) {
+            return entry.first.first == index && entry.first.second >= firstIncomingLink;
+        }));
     }
 
-    /** @return how long after its start the last node knew something of the store; never() while one does not. */
-    [[nodiscard]] millis longestStart() const
+    /** @return the longest time from the start of a node until it had the full contents; never() while a node has none.
+     */
+    [[nodiscard]] millis maxStartupTime() const
     {
-        millis longest;
-        for (const member &one : m_nodes) {
-            longest = std::max(longest, one.knewAt == millis::never() ? one.knewAt : one.knewAt - one.startedAt);
+        millis maximum;
+        for (const simulated_process &process : m_processes) {
+            maximum =
+                std::max(maximum,
+                         process.contentsKnownAt == millis::never() ? process.contentsKnownAt
+                                                                    : process.contentsKnownAt - process.startedAt);
         }
-        return longest;
+        return maximum;
     }
 
-    std::size_t contentReads = 0;
+    std::size_t fullContentReads = 0;
     std::size_t storeCalls = 0;
-    std::size_t connections = 0; ///< that were opened
-    std::size_t bytesAcross = 0; ///< sent to another zone
-    std::size_t requestMessages = 0; ///< about requests that end leafs, that arrived
-    std::vector<std::string> notes; ///< event and what it is about
+    std::size_t connectionAttempts = 0; ///< including failed ones
+    std::size_t crossZoneBytes = 0; ///< bytes sent between nodes of different zones
+    std::size_t requestEvidenceMessages = 0; ///< messages with request evidence that were received
+    std::vector<std::string> logEvents; ///< log events of the tree: name and subject
 
 private:
-    static constexpr link_id firstIncoming = link_id {1} << 40U;
+    static constexpr link_id firstIncomingLink = link_id {1} << 40U;
     static constexpr millis tickInterval {100};
-    static constexpr millis refusedAfter {0.5};
-    static constexpr millis watchHeld {400};
-    static constexpr millis wayOfWord {30}; ///< from the store to a node that waits for it
+    static constexpr millis connectionRefusedDelay {0.5};
+    static constexpr millis storeWatchTimeout {400};
+    static constexpr millis storeUpdateDelay {30}; ///< allowed for an update from the store to a waiting node
 
-    struct member {
+    struct simulated_process {
         std::unique_ptr<fleet_node> node;
-        std::uint64_t life = 0; ///< rises with each start
-        bool frozen = false;
-        bool storeCut = false;
-        bool storeSilent = false;
+        std::uint64_t incarnation = 0; ///< increases with each start
+        bool paused = false;
+        bool storeUnavailable = false;
+        bool storeUnresponsive = false;
         bool reading = false;
-        bool answered = false;
-        std::uint64_t calls = 0;
-        std::size_t members = 0;
-        std::vector<leaf_report> reports;
-        std::map<std::string, std::string> heard; ///< by key
+        bool storeAnswered = false;
+        std::uint64_t lastStoreCall = 0; ///< sequence number; a scheduled call with a lower one is cancelled
+        std::size_t memberCount = 0;
+        std::vector<leaf_report> receivedReports;
+        std::map<std::string, std::string> valuesByKey; ///< received since the start, separated by commas
         request_ledger ledger {quarantine_settings()};
-        std::set<request_fingerprint> unwarned; ///< requests that others knew of when this node knew the store's word
-        std::uint64_t readUpTo = 0;
-        millis askedAt; ///< the store, for the watch that it holds
+        std::set<request_fingerprint> missedEvidence; ///< requests with evidence at other nodes but not at this one
+                                                      ///< when it received its first full contents
+        std::uint64_t readRevision = 0;
+        millis watchStartedAt; ///< when the watch that the store currently holds was started
         millis startedAt;
-        millis knewAt = millis::never();
+        millis contentsKnownAt = millis::never();
         millis busyUntil;
         millis linkFreeAt;
-        std::vector<std::pair<std::size_t, std::function<void()>>> waiting; ///< while it is frozen, with their bytes
+        /** Tasks queued while the process is paused, with their sizes in bytes. */
+        std::vector<std::pair<std::size_t, std::function<void()>>> pausedTasks;
     };
 
     /** One end of a connection. */
@@ -358,352 +372,358 @@
 
     using link_key = std::pair<std::size_t, link_id>;
 
-    [[nodiscard]] std::size_t countIf(const std::function<bool(const member &)> &is) const
+    [[nodiscard]] std::size_t countNodes(const std::function<bool(const simulated_process &)> &predicate) const
     {
-        return static_cast<std::size_t>(
-            std::ranges::count_if(m_nodes, [&](const member &one) { return one.node && is(one); }));
+        return static_cast<std::size_t>(std::ranges::count_if(
+            m_processes, [&](const simulated_process &process) { return process.node && predicate(process); }));
     }
 
-    void later(millis when, std::function<void()> what)
+    void schedule(millis when, std::function<void()> event)
     {
-        m_events.emplace(when, std::move(what));
+        m_events.emplace(when, std::move(event));
     }
 
-    void begin(std::size_t at)
+    void startProcess(std::size_t index)
     {
         fleet_settings settings;
-        settings.address = addressOf(at);
-        settings.zone = zoneOf(at);
+        settings.address = addressOf(index);
+        settings.zone = zoneOf(index);
         settings.seeds = {addressOf(0), addressOf(1), addressOf(2)};
         settings.prefixes = {prefix};
         settings.fanOut = m_settings.fanOut;
         settings.drawInterval = m_settings.drawInterval;
-        member &one = m_nodes[at];
-        one.node = std::make_unique<fleet_node>(settings, m_random.below(1U << 30U) + at);
-        one.startedAt = m_now;
-        one.node->start(m_now);
-        collect(at);
-        tick(at, one.life);
+        simulated_process &process = m_processes[index];
+        process.node = std::make_unique<fleet_node>(settings, m_random.below(1U << 30U) + index);
+        process.startedAt = m_now;
+        process.node->start(m_now);
+        performActions(index);
+        tick(index, process.incarnation);
     }
 
-    void tick(std::size_t at, std::uint64_t life)
+    void tick(std::size_t index, std::uint64_t incarnation)
     {
-        if (!isAlive(at, life)) {
+        if (!isRunning(index, incarnation)) {
             return;
         }
-        if (!m_nodes[at].frozen) {
-            m_nodes[at].node->tick(m_now);
-            watchEnds(at);
-            collect(at);
+        if (!m_processes[index].paused) {
+            m_processes[index].node->tick(m_now);
+            completeIdleWatch(index);
+            performActions(index);
         }
-        later(m_now + tickInterval, [this, at, life] { tick(at, life); });
+        schedule(m_now + tickInterval, [this, index, incarnation] { tick(index, incarnation); });
     }
 
-    [[nodiscard]] bool isAlive(std::size_t at, std::uint64_t life) const
+    [[nodiscard]] bool isRunning(std::size_t index, std::uint64_t incarnation) const
     {
-        return m_nodes[at].node && m_nodes[at].life == life;
+        return m_processes[index].node && m_processes[index].incarnation == incarnation;
     }
 
-    [[nodiscard]] bool cutBetween(std::size_t a, std::size_t b) const
+    [[nodiscard]] bool isPartitioned(std::size_t a, std::size_t b) const
     {
-        return (a < m_splitAt) != (b < m_splitAt);
+        return (a < m_partitionSize) != (b < m_partitionSize);
     }
 
-    /** Does something on a node's processor, once that is free. */
-    void onProcessor(std::size_t at, std::size_t bytes, std::function<void()> what)
+    /** Runs a task on a node's processor as soon as the processor is free. */
+    void runOnProcessor(std::size_t index, std::size_t bytes, std::function<void()> task)
     {
-        const std::uint64_t life = m_nodes[at].life;
-        if (!isAlive(at, life)) {
+        const std::uint64_t incarnation = m_processes[index].incarnation;
+        if (!isRunning(index, incarnation)) {
             return;
         }
-        if (m_nodes[at].frozen) {
-            m_nodes[at].waiting.emplace_back(bytes, std::move(what));
+        if (m_processes[index].paused) {
+            m_processes[index].pausedTasks.emplace_back(bytes, std::move(task));
             return;
         }
-        member &one = m_nodes[at];
-        one.busyUntil = std::max(one.busyUntil, m_now) + m_settings.workPerMessage
-            + millis(static_cast<double>(bytes) / m_settings.workBytesPerMs);
-        later(one.busyUntil, [this, at, life, what = std::move(what)] {
-            if (isAlive(at, life)) {
-                what();
-                collect(at);
+        simulated_process &process = m_processes[index];
+        process.busyUntil = std::max(process.busyUntil, m_now) + m_settings.cpuTimePerMessage
+            + millis(static_cast<double>(bytes) / m_settings.cpuBytesPerMs);
+        schedule(process.busyUntil, [this, index, incarnation, task = std::move(task)] {
+            if (isRunning(index, incarnation)) {
+                task();
+                performActions(index);
             }
         });
     }
 
-    /** @return when bytes that leave now have arrived. */
-    millis arrivalOf(std::size_t from, std::size_t bytes)
+    /** Occupies the link of @p from with bytes sent now. @return the time of their arrival. */
+    millis occupyLink(std::size_t from, std::size_t bytes)
     {
-        member &one = m_nodes[from];
-        one.linkFreeAt =
-            std::max(one.linkFreeAt, m_now) + millis(static_cast<double>(bytes) / m_settings.linkBytesPerMs);
-        return one.linkFreeAt + m_settings.delay;
+        simulated_process &process = m_processes[from];
+        process.linkFreeAt =
+            std::max(process.linkFreeAt, m_now) + millis(static_cast<double>(bytes) / m_settings.linkBytesPerMs);
+        return process.linkFreeAt + m_settings.oneWayDelay;
     }
 
     // ---- the store
 
-    void readLater(std::size_t at)
+    void scheduleStoreRead(std::size_t index)
     {
-        callLater(at, m_settings.storeTime);
+        scheduleStoreCall(index, m_settings.storeLatency);
     }
 
-    void callLater(std::size_t at, millis after)
+    void scheduleStoreCall(std::size_t index, millis after)
     {
-        const std::uint64_t call = ++m_nodes[at].calls;
-        const std::uint64_t life = m_nodes[at].life;
-        later(m_now + after, [this, at, call, life] {
-            if (isAlive(at, life) && m_nodes[at].calls == call && m_nodes[at].reading) {
-                callStore(at);
+        const std::uint64_t sequence = ++m_processes[index].lastStoreCall;
+        const std::uint64_t incarnation = m_processes[index].incarnation;
+        schedule(m_now + after, [this, index, sequence, incarnation] {
+            if (isRunning(index, incarnation) && m_processes[index].lastStoreCall == sequence
+                && m_processes[index].reading) {
+                callStore(index);
             }
         });
     }
 
-    void callStore(std::size_t at)
+    void callStore(std::size_t index)
     {
-        member &one = m_nodes[at];
+        simulated_process &process = m_processes[index];
         ++storeCalls;
-        if (one.storeCut) {
-            const std::uint64_t life = one.life;
-            later(m_now + (one.storeSilent ? m_settings.storePatience : m_settings.delay), [this, at, life] {
-                if (isAlive(at, life) && m_nodes[at].reading && m_nodes[at].storeCut) {
-                    m_nodes[at].answered = false;
-                    m_nodes[at].node->onStoreState(prefix, false, m_now);
-                    collect(at);
-                    constexpr millis retry(700);
-                    callLater(at, retry);
-                }
-            });
+        if (process.storeUnavailable) {
+            const std::uint64_t incarnation = process.incarnation;
+            schedule(m_now + (process.storeUnresponsive ? m_settings.storeCallTimeout : m_settings.oneWayDelay),
+                     [this, index, incarnation] {
+                         if (isRunning(index, incarnation) && m_processes[index].reading
+                             && m_processes[index].storeUnavailable) {
+                             m_processes[index].storeAnswered = false;
+                             m_processes[index].node->onStoreState(prefix, false, m_now);
+                             performActions(index);
+                             constexpr millis retry(700);
+                             scheduleStoreCall(index, retry);
+                         }
+                     });
             return;
         }
         std::vector<store_item> items;
         std::size_t bytes = 0;
         for (const auto &[key, item] : m_store) {
-            if (item.revision > one.readUpTo && !(one.readUpTo == 0 && item.deleted)) {
+            if (item.revision > process.readRevision && !(process.readRevision == 0 && item.deleted)) {
                 items.push_back(item);
                 bytes += item.value.size();
             }
         }
         const std::uint64_t revision = m_revision;
-        const millis asked = std::exchange(one.askedAt, m_now);
-        const millis vouched = one.readUpTo == 0 ? m_now : asked;
+        const millis watchStart = std::exchange(process.watchStartedAt, m_now);
+        const millis currentAsOf = process.readRevision == 0 ? m_now : watchStart;
         const millis arrival =
-            m_now + m_settings.storeTime + millis(static_cast<double>(bytes) / m_settings.linkBytesPerMs);
-        const std::uint64_t life = one.life;
-        later(arrival, [this, at, life, items, revision, bytes, vouched] {
-            if (isAlive(at, life) && m_nodes[at].reading) {
-                onProcessor(at, bytes, [this, at, items, revision, vouched] {
-                    takeAnswer(at, items, revision);
-                    m_nodes[at].node->onStoreCurrent(vouched, m_now);
+            m_now + m_settings.storeLatency + millis(static_cast<double>(bytes) / m_settings.linkBytesPerMs);
+        const std::uint64_t incarnation = process.incarnation;
+        schedule(arrival, [this, index, incarnation, items, revision, bytes, currentAsOf] {
+            if (isRunning(index, incarnation) && m_processes[index].reading) {
+                runOnProcessor(index, bytes, [this, index, items, revision, currentAsOf] {
+                    handleStoreResponse(index, items, revision);
+                    m_processes[index].node->onStoreCurrent(currentAsOf, m_now);
                 });
             }
         });
     }
 
-    /** The store answers a watch without news. */
-    void watchEnds(std::size_t at)
+    /** Completes a watch during which the store accepted no update. */
+    void completeIdleWatch(std::size_t index)
     {
-        member &one = m_nodes[at];
-        if (one.reading && one.answered && !one.storeCut && m_now - one.askedAt >= watchHeld) {
-            const millis asked = std::exchange(one.askedAt, m_now);
-            onProcessor(at, 0, [this, at, asked] { m_nodes[at].node->onStoreCurrent(asked, m_now); });
+        simulated_process &process = m_processes[index];
+        if (process.reading && process.storeAnswered && !process.storeUnavailable
+            && m_now - process.watchStartedAt >= storeWatchTimeout) {
+            const millis watchStart = std::exchange(process.watchStartedAt, m_now);
+            runOnProcessor(
+                index, 0, [this, index, watchStart] { m_processes[index].node->onStoreCurrent(watchStart, m_now); });
         }
     }
 
-    void takeAnswer(std::size_t at, const std::vector<store_item> &items, std::uint64_t revision)
+    void handleStoreResponse(std::size_t index, const std::vector<store_item> &items, std::uint64_t revision)
     {
-        member &one = m_nodes[at];
-        if (!one.reading) {
+        simulated_process &process = m_processes[index];
+        if (!process.reading) {
             return;
         }
-        if (!std::exchange(one.answered, true)) {
-            one.node->onStoreState(prefix, true, m_now);
-            collect(at);
+        if (!std::exchange(process.storeAnswered, true)) {
+            process.node->onStoreState(prefix, true, m_now);
+            performActions(index);
         }
-        if (!one.reading) {
-            return; // it found another one to follow
+        if (!process.reading) {
+            return; // the node has started to follow another process
         }
-        if (one.readUpTo == 0) {
-            ++contentReads;
-            one.node->onStoreContents(prefix, items, revision);
+        if (process.readRevision == 0) {
+            ++fullContentReads;
+            process.node->onStoreContents(prefix, items, revision);
         } else {
-            one.node->onStoreChanges(prefix, items, revision);
+            process.node->onStoreChanges(prefix, items, revision);
         }
-        one.readUpTo = std::max(one.readUpTo, revision);
+        process.readRevision = std::max(process.readRevision, revision);
     }
 
-    // ---- what nodes do
+    // ---- actions of the nodes
 
-    void collect(std::size_t at)
+    void performActions(std::size_t index)
     {
-        member &one = m_nodes[at];
-        for (const fleet_action &action : one.node->takeActions()) {
-            std::visit([&](const auto &what) { perform(at, what); }, action);
+        simulated_process &process = m_processes[index];
+        for (const fleet_action &action : process.node->takeActions()) {
+            std::visit([&](const auto &typedAction) { perform(index, typedAction); }, action);
         }
-        if (one.knewAt == millis::never() && one.node->view(prefix).known()) {
-            one.knewAt = m_now;
-            noteUnwarned(one);
+        if (process.contentsKnownAt == millis::never() && process.node->view(prefix).known()) {
+            process.contentsKnownAt = m_now;
+            recordMissedEvidence(process);
         }
     }
 
-    void perform(std::size_t at, const dial_action &dialled)
+    void perform(std::size_t index, const dial_action &action)
     {
-        ++connections;
-        for (std::size_t to = 0; to < m_nodes.size(); ++to) {
-            if (addressOf(to) != dialled.address) {
+        ++connectionAttempts;
+        for (std::size_t to = 0; to < m_processes.size(); ++to) {
+            if (addressOf(to) != action.address) {
                 continue;
             }
-            if (cutBetween(at, to) || m_nodes[to].frozen) {
-                lateFailure(at, dialled.link, millis(300));
-            } else if (!m_nodes[to].node) {
-                lateFailure(at, dialled.link, refusedAfter);
+            if (isPartitioned(index, to) || m_processes[to].paused) {
+                failLinkLater(index, action.link, millis(300));
+            } else if (!m_processes[to].node) {
+                failLinkLater(index, action.link, connectionRefusedDelay);
             } else {
-                connect(at, dialled.link, to);
+                connect(index, action.link, to);
             }
             return;
         }
     }
 
-    void lateFailure(std::size_t at, link_id link, millis after)
+    void failLinkLater(std::size_t index, link_id link, millis after)
     {
-        const std::uint64_t life = m_nodes[at].life;
-        later(m_now + after, [this, at, link, life] {
-            if (isAlive(at, life)) {
-                m_nodes[at].node->onLinkClosed(link, m_now);
-                collect(at);
+        const std::uint64_t incarnation = m_processes[index].incarnation;
+        schedule(m_now + after, [this, index, link, incarnation] {
+            if (isRunning(index, incarnation)) {
+                m_processes[index].node->onLinkClosed(link, m_now);
+                performActions(index);
             }
         });
     }
 
-    void connect(std::size_t at, link_id link, std::size_t to)
+    void connect(std::size_t index, link_id link, std::size_t to)
     {
-        const link_id incoming = firstIncoming + m_nextIncoming++;
-        m_ends[{at, link}] = {to, incoming, false};
-        m_ends[{to, incoming}] = {at, link, false};
-        onProcessor(to, 0, [] {}); // it accepts
-        later(m_now + m_settings.delay * 2, [this, at, link] {
-            if (m_ends.contains({at, link})) {
-                m_ends[{at, link}].open = true;
-                onProcessor(at, 0, [this, at, link] { m_nodes[at].node->onLinkOpen(link, m_now); });
+        const link_id incoming = firstIncomingLink + m_nextIncomingLink++;
+        m_linkEnds[{index, link}] = {to, incoming, false};
+        m_linkEnds[{to, incoming}] = {index, link, false};
+        runOnProcessor(to, 0, [] {}); // accepting the connection takes processor time
+        schedule(m_now + m_settings.oneWayDelay * 2, [this, index, link] {
+            if (m_linkEnds.contains({index, link})) {
+                m_linkEnds[{index, link}].open = true;
+                runOnProcessor(index, 0, [this, index, link] { m_processes[index].node->onLinkOpen(link, m_now); });
             }
         });
     }
 
-    void perform(std::size_t at, const tell_action &told)
+    void perform(std::size_t index, const tell_action &action)
     {
-        fleet_message message = told.message;
+        fleet_message message = action.message;
         if (auto *items = std::get_if<store_items>(&message)) {
-            spoil(*items);
+            corruptItems(*items);
         }
         const std::string frame = encodeFleetFrame(message);
-        std::ranges::for_each(told.links, [&](link_id link) { send(at, link, frame); });
+        std::ranges::for_each(action.links, [&](link_id link) { sendFrame(index, link, frame); });
     }
 
-    void send(std::size_t at, link_id link, const std::string &frame)
+    void sendFrame(std::size_t index, link_id link, const std::string &frame)
     {
-        const auto end = m_ends.find({at, link});
-        if (end == m_ends.end()) {
+        const auto end = m_linkEnds.find({index, link});
+        if (end == m_linkEnds.end()) {
             return;
         }
-        const link_end to = end->second;
-        bytesAcross += zoneOf(at) == zoneOf(to.peer) ? 0 : frame.size();
-        if (cutBetween(at, to.peer)) {
+        const link_end receiver = end->second;
+        crossZoneBytes += zoneOf(index) == zoneOf(receiver.peer) ? 0 : frame.size();
+        if (isPartitioned(index, receiver.peer)) {
             return;
         }
-        later(arrivalOf(at, frame.size()), [this, to, frame] {
-            if (!m_ends.contains({to.peer, to.peerLink})) {
+        schedule(occupyLink(index, frame.size()), [this, receiver, frame] {
+            if (!m_linkEnds.contains({receiver.peer, receiver.peerLink})) {
                 return;
             }
-            onProcessor(to.peer, frame.size(), [this, to, frame] {
+            runOnProcessor(receiver.peer, frame.size(), [this, receiver, frame] {
                 const std::vector<std::uint8_t> payload(frame.begin() + 4, frame.end());
-                m_nodes[to.peer].node->onMessage(to.peerLink, decodeFleetPayload(payload).value(), m_now);
+                m_processes[receiver.peer].node->onMessage(
+                    receiver.peerLink, decodeFleetPayload(payload).value(), m_now);
             });
         });
     }
 
-    void perform(std::size_t at, const hang_up_action &ended)
+    void perform(std::size_t index, const hang_up_action &action)
     {
-        hangUp(at, ended.link);
+        closeLink(index, action.link);
     }
 
-    void hangUp(std::size_t at, link_id link)
+    void closeLink(std::size_t index, link_id link)
     {
-        const auto end = m_ends.find({at, link});
-        if (end == m_ends.end()) {
+        const auto end = m_linkEnds.find({index, link});
+        if (end == m_linkEnds.end()) {
             return;
         }
         const link_end other = end->second;
-        m_ends.erase(end);
-        const std::uint64_t life = m_nodes[other.peer].life;
-        later(m_now + m_settings.delay, [this, other, life] {
-            const bool known = m_ends.erase({other.peer, other.peerLink}) > 0;
-            if (known && isAlive(other.peer, life) && !m_nodes[other.peer].frozen) {
-                m_nodes[other.peer].node->onLinkClosed(other.peerLink, m_now);
-                collect(other.peer);
+        m_linkEnds.erase(end);
+        const std::uint64_t incarnation = m_processes[other.peer].incarnation;
+        schedule(m_now + m_settings.oneWayDelay, [this, other, incarnation] {
+            const bool known = m_linkEnds.erase({other.peer, other.peerLink}) > 0;
+            if (known && isRunning(other.peer, incarnation) && !m_processes[other.peer].paused) {
+                m_processes[other.peer].node->onLinkClosed(other.peerLink, m_now);
+                performActions(other.peer);
             }
         });
     }
 
-    void perform(std::size_t at, const read_action &read)
+    void perform(std::size_t index, const read_action &action)
     {
-        member &one = m_nodes[at];
-        one.reading = read.reading;
-        one.answered = false;
-        const store_view &view = one.node->view(prefix);
-        one.readUpTo = view.known() ? view.revision() : 0;
-        if (read.reading) {
-            callLater(at, millis());
+        simulated_process &process = m_processes[index];
+        process.reading = action.reading;
+        process.storeAnswered = false;
+        const store_view &view = process.node->view(prefix);
+        process.readRevision = view.known() ? view.revision() : 0;
+        if (action.reading) {
+            scheduleStoreCall(index, millis());
         }
     }
 
-    void perform(std::size_t at, const news_action &told)
+    void perform(std::size_t index, const news_action &action)
     {
-        for (const store_item &item : told.items) {
-            std::string &heard = m_nodes[at].heard[item.key];
-            heard += (heard.empty() ? "" : ",") + (item.deleted ? std::string("deleted") : item.value);
+        for (const store_item &item : action.items) {
+            std::string &values = m_processes[index].valuesByKey[item.key];
+            values += (values.empty() ? "" : ",") + (item.deleted ? std::string("deleted") : item.value);
         }
     }
 
-    void perform(std::size_t at, const members_action &known)
+    void perform(std::size_t index, const members_action &action)
     {
-        m_nodes[at].members = known.members.size();
+        m_processes[index].memberCount = action.members.size();
     }
 
-    void perform(std::size_t at, const reports_action &heard)
+    void perform(std::size_t index, const reports_action &action)
     {
-        std::ranges::copy(heard.reports, std::back_inserter(m_nodes[at].reports));
+        std::ranges::copy(action.reports, std::back_inserter(m_processes[index].receivedReports));
     }
 
-    void perform(std::size_t, const tree_note_action &said)
+    void perform(std::size_t, const tree_note_action &action)
     {
-        notes.push_back(std::string(said.event) + " " + said.about);
+        logEvents.push_back(std::string(action.event) + " " + action.about);
     }
 
-    void perform(std::size_t at, const requests_action &heard)
+    void perform(std::size_t index, const requests_action &action)
     {
-        const std::vector<request_evidence> news = m_nodes[at].ledger.join(heard.requests, m_now);
-        requestMessages += 1;
-        m_nodes[at].node->tellRequests(news, heard.from, m_now);
-        tellRequests(at); // what the ledger added to it
+        const std::vector<request_evidence> newEvidence = m_processes[index].ledger.join(action.requests, m_now);
+        requestEvidenceMessages += 1;
+        m_processes[index].node->tellRequests(newEvidence, action.from, m_now);
+        sendRequestEvidence(index); // evidence that this node's ledger added to the received evidence
     }
 
-    void perform(std::size_t at, const greet_action &greeted)
+    void perform(std::size_t index, const greet_action &action)
     {
-        m_nodes[at].node->greet(greeted.link, m_nodes[at].ledger.all(), m_now);
-        collect(at);
+        m_processes[index].node->greet(action.link, m_processes[index].ledger.all(), m_now);
+        performActions(index);
     }
 
-    void tellRequests(std::size_t at)
+    void sendRequestEvidence(std::size_t index)
     {
-        m_nodes[at].node->tellRequests(m_nodes[at].ledger.takeNews(), 0, m_now);
-        collect(at);
+        m_processes[index].node->tellRequests(m_processes[index].ledger.takeNews(), 0, m_now);
+        performActions(index);
     }
 
-    void noteUnwarned(member &starting) const
+    void recordMissedEvidence(simulated_process &started) const
     {
-        for (const member &other : m_nodes) {
-            for (const request_evidence &known : other.ledger.all()) {
-                if (starting.ledger.find(known.key) == nullptr) {
-                    starting.unwarned.insert(known.key);
+        for (const simulated_process &other : m_processes) {
+            for (const request_evidence &evidence : other.ledger.all()) {
+                if (started.ledger.find(evidence.key) == nullptr) {
+                    started.missedEvidence.insert(evidence.key);
                 }
             }
         }
@@ -712,14 +732,14 @@
     fleet_world_settings m_settings;
     seeded_random m_random;
     millis m_now {1000};
-    std::vector<member> m_nodes;
-    std::map<link_key, link_end> m_ends;
+    std::vector<simulated_process> m_processes;
+    std::map<link_key, link_end> m_linkEnds;
     std::multimap<millis, std::function<void()>> m_events;
     std::map<std::string, store_item> m_store;
     std::map<std::uint64_t, millis> m_writtenAt; ///< by revision
     std::uint64_t m_revision = 1;
-    link_id m_nextIncoming = 1;
-    std::size_t m_splitAt = 0;
+    link_id m_nextIncomingLink = 1;
+    std::size_t m_partitionSize = 0;
 };
 
 } // namespace chivelock::testing
--- a/libs/fleet/tests/test_fleet.cpp
+++ b/libs/fleet/tests/test_fleet.cpp
@@ -6,172 +6,167 @@
 using namespace chivelock;
 using namespace chivelock::testing;
 
-BOOST_AUTO_TEST_CASE(one_process_reads_and_all_know)
+BOOST_AUTO_TEST_CASE(one_process_reads_the_store_and_all_receive_its_updates)
 {
     fleet_world fleet(8);
     fleet.write("a", "1");
     fleet.run(millis(3000));
-    BOOST_TEST(fleet.readers() == 1U);
-    BOOST_TEST(fleet.holders("a") == 8U);
+    BOOST_TEST(fleet.countReaders() == 1U);
+    BOOST_TEST(fleet.countHolders("a") == 8U);
     fleet.write("b", "2");
     fleet.run(millis(100));
-    BOOST_TEST(fleet.holders("b") == 8U);
+    BOOST_TEST(fleet.countHolders("b") == 8U);
     fleet.run(millis(6000));
     BOOST_TEST(fleet.node(5).fleetSize(fleet.now()) == 8U);
-    BOOST_TEST(fleet.contentReads == 1U);
+    BOOST_TEST(fleet.fullContentReads == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_process_passes_on_to_a_few_only)
+BOOST_AUTO_TEST_CASE(each_process_has_at_most_fan_out_followers)
 {
     fleet_world fleet(40, 3);
     fleet.write("a", "1");
     fleet.run(millis(8000));
-    BOOST_TEST(fleet.holders("a") == 40U);
-    BOOST_TEST(fleet.mostFollowers() <= 3U);
+    BOOST_TEST(fleet.countHolders("a") == 40U);
+    BOOST_TEST(fleet.maxFollowers() <= 3U);
     fleet.write("b", "2");
     fleet.run(millis(200));
-    BOOST_TEST(fleet.holders("b") == 40U);
-    BOOST_TEST(fleet.readers() <= 3U);
+    BOOST_TEST(fleet.countHolders("b") == 40U);
+    BOOST_TEST(fleet.countReaders() <= 3U);
 }
 
-// Symptom: configuration does not arrive for as long as one VM is frozen.
-// Sequence: the reader freezes with its connections open; followers hear nothing and see no end.
-// Cause: only time tells; a follower must look for another within the silence limit.
-BOOST_AUTO_TEST_CASE(a_frozen_reader_is_replaced_and_nothing_is_read_twice)
+// Guards against configuration updates that do not arrive while the reader's process is paused. Its connections stay
+// open, so its followers receive neither messages nor a close; they must look for another upstream within a timeout.
+BOOST_AUTO_TEST_CASE(a_paused_reader_is_replaced_without_a_second_full_read)
 {
     fleet_world fleet(8);
     fleet.write("a", "1");
     fleet.run(millis(3000));
-    fleet.freeze(0, true);
+    fleet.setPaused(0, true);
     fleet.write("b", "2");
     fleet.run(millis(2500));
-    BOOST_TEST(fleet.holders("b") == 7U);
-    BOOST_TEST(fleet.contentReads == 1U);
-    fleet.freeze(0, false);
+    BOOST_TEST(fleet.countHolders("b") == 7U);
+    BOOST_TEST(fleet.fullContentReads == 1U);
+    fleet.setPaused(0, false);
     fleet.run(millis(8000));
-    BOOST_TEST(fleet.holders("b") == 8U);
-    BOOST_TEST(fleet.readers() == 1U);
+    BOOST_TEST(fleet.countHolders("b") == 8U);
+    BOOST_TEST(fleet.countReaders() == 1U);
 }
 
-// Symptom: the fleet is blind although the store serves most of its VMs.
-// Sequence: the store turns the one reader away and answers the others.
-// Cause: the reader's word that its store is lost must make others read.
-BOOST_AUTO_TEST_CASE(a_store_that_turns_the_reader_away_is_read_by_others)
+// Guards against a fleet without store updates although the store serves most VMs. The store refuses only the reader;
+// the reader's report that it lost the store must make other processes read.
+BOOST_AUTO_TEST_CASE(other_processes_read_the_store_when_it_refuses_the_reader)
 {
     fleet_world fleet(8);
     fleet.write("a", "1");
     fleet.run(millis(3000));
-    fleet.cutFromStore(0, true);
+    fleet.setStoreUnavailable(0, true);
     fleet.write("b", "2");
     fleet.run(millis(6500));
-    BOOST_TEST(fleet.holders("b") == 8U);
+    BOOST_TEST(fleet.countHolders("b") == 8U);
     fleet.run(millis(8000));
-    BOOST_TEST(fleet.readers() <= 2U);
+    BOOST_TEST(fleet.countReaders() <= 2U);
 }
 
-// Symptom: a VM that is cut off from its peers serves an old configuration.
-// Sequence: the links to all peers go silent, the store can be reached.
-// Cause: without anyone to follow, a process must read for itself.
-// Symptom: VMs that the store serves handle requests by an old configuration for eight seconds.
-// Sequence: the store turns all seeds away, the reader among them, without a sign; each that takes over claims to read
-// until its own call times out.
-// Cause: a reader was believed before the store had answered it.
-BOOST_AUTO_TEST_CASE(a_store_that_turns_all_seeds_away_is_read_by_the_rest)
+// Guards against VMs that use an outdated configuration for eight seconds although the store serves them. The store
+// stops serving all seeds, including the reader, without notice. Each seed that takes over must not be trusted as a
+// reader before the store has answered it: otherwise the others wait until its own store call times out.
+BOOST_AUTO_TEST_CASE(other_processes_read_the_store_when_it_refuses_all_seeds)
 {
     fleet_world fleet(20, 4);
     fleet.write("a", "1");
     fleet.run(millis(3000));
     for (std::size_t seed = 0; seed < 3; ++seed) {
-        fleet.cutFromStore(seed, true);
+        fleet.setStoreUnavailable(seed, true);
     }
     fleet.write("b", "2");
     fleet.run(millis(1600));
-    BOOST_TEST(fleet.holders("b") >= 17U);
+    BOOST_TEST(fleet.countHolders("b") >= 17U);
 }
 
-// Symptom: a VM that was cut off takes leafs that leave for ones that came back.
-// Sequence: it hears neither the store nor its peers; the store is well.
-// Cause: its own silence was taken for trouble of the store.
-BOOST_AUTO_TEST_CASE(who_is_cut_off_hears_nobody)
+// Guards against an isolated VM that treats leaving leafs as returned. It receives nothing from the store or its peers
+// while the store works; its own isolation must not count as a failure of the store.
+BOOST_AUTO_TEST_CASE(an_isolated_process_has_no_contact_with_peers)
 {
     fleet_world fleet(6);
     fleet.write("a", "1");
     fleet.run(millis(3000));
     BOOST_TEST(fleet.node(0).hearsPeers(fleet.now()));
     BOOST_TEST(fleet.node(5).hearsPeers(fleet.now()));
-    fleet.split(1);
+    fleet.partition(1);
     fleet.run(millis(1000));
     BOOST_TEST(!fleet.node(0).hearsPeers(fleet.now()));
 }
 
-BOOST_AUTO_TEST_CASE(both_sides_of_a_cut_read_and_join_again)
+// Guards against a VM that uses an outdated configuration after the links to all its peers stop delivering messages,
+// although the store is reachable: a process without an upstream must read the store itself.
+BOOST_AUTO_TEST_CASE(both_sides_of_a_partition_read_and_merge_again)
 {
     fleet_world fleet(8);
     fleet.write("a", "1");
     fleet.run(millis(3000));
-    fleet.split(4);
+    fleet.partition(4);
     fleet.write("b", "2");
     fleet.run(millis(2500));
-    BOOST_TEST(fleet.holders("b") == 8U);
+    BOOST_TEST(fleet.countHolders("b") == 8U);
     BOOST_TEST(fleet.node(7).fleetSize(fleet.now()) == 8U);
-    fleet.split(0);
+    fleet.partition(0);
     fleet.run(millis(15000));
-    BOOST_TEST(fleet.readers() == 1U);
+    BOOST_TEST(fleet.countReaders() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(all_know_who_there_is)
+BOOST_AUTO_TEST_CASE(all_processes_know_all_members)
 {
     fleet_world fleet(20, 3);
     fleet.write("a", "1");
     fleet.run(millis(10000));
-    for (std::size_t at = 0; at < 20; ++at) {
-        BOOST_TEST(fleet.membersAt(at) == 20U);
+    for (std::size_t index = 0; index < 20; ++index) {
+        BOOST_TEST(fleet.memberCountAt(index) == 20U);
     }
-    fleet.freeze(7, true);
+    fleet.setPaused(7, true);
     fleet.run(millis(10000));
-    BOOST_TEST(fleet.membersAt(3) == 19U);
+    BOOST_TEST(fleet.memberCountAt(3) == 19U);
 }
 
-// Symptom: each VM of a large fleet finds out alone that a leaf is slow.
-// Sequence: one VM far down the tree finds out. Cause: the tree carried the store's word only, and that downwards.
-BOOST_AUTO_TEST_CASE(a_report_about_a_leaf_reaches_all_within_a_second)
+// Guards against each VM of a large fleet having to detect a slow leaf itself. The VM that detects it first may be far
+// down the tree, and a tree that carries only store updates, and only downwards, does not forward its report.
+BOOST_AUTO_TEST_CASE(a_leaf_report_reaches_all_processes_within_a_second)
 {
     fleet_world fleet(20, 3);
     fleet.write("a", "1");
     fleet.run(millis(5000));
     fleet.report(19, "leaf", 4);
     fleet.run(millis(1000));
-    for (std::size_t at = 0; at < 19; ++at) {
-        BOOST_TEST_REQUIRE(fleet.reportsAt(at).size() == 1U);
-        BOOST_TEST(fleet.reportsAt(at).front().slowness == 4);
-        const millis age = fleet.now() - fleet.reportsAt(at).front().observedAt;
-        // The way of each message is not counted: a step for each of some hops.
+    for (std::size_t index = 0; index < 19; ++index) {
+        BOOST_TEST_REQUIRE(fleet.receivedReportsAt(index).size() == 1U);
+        BOOST_TEST(fleet.receivedReportsAt(index).front().slowness == 4);
+        const millis age = fleet.now() - fleet.receivedReportsAt(index).front().observedAt;
+        // The age excludes the network latency of the messages, which adds up over several hops.
         BOOST_TEST(std::abs(age.count() - 1000) < 100);
     }
-    // Nobody hears it twice, and the one that said it does not hear it back.
+    // No process receives the report twice, and its sender does not receive it back.
     fleet.run(millis(5000));
-    BOOST_TEST(fleet.reportsAt(19).empty());
-    BOOST_TEST(fleet.reportsAt(0).size() == 1U);
+    BOOST_TEST(fleet.receivedReportsAt(19).empty());
+    BOOST_TEST(fleet.receivedReportsAt(0).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(of_many_reports_the_slowest_leafs_go_first)
+BOOST_AUTO_TEST_CASE(reports_about_the_slowest_leafs_are_sent_first)
 {
     fleet_world fleet(2);
     fleet.write("a", "1");
     fleet.run(millis(5000));
-    for (int at = 0; at < 100; ++at) {
-        fleet.report(1, "leaf" + std::to_string(at), 1 + at);
+    for (int leaf = 0; leaf < 100; ++leaf) {
+        fleet.report(1, "leaf" + std::to_string(leaf), 1 + leaf);
     }
-    fleet.run(millis(120)); // a tick, as often as the daemon has one
-    const std::vector<leaf_report> &first = fleet.reportsAt(0);
-    BOOST_TEST(!first.empty());
-    BOOST_TEST(first.size() < 100U);
-    BOOST_TEST(std::ranges::min(first, {}, &leaf_report::slowness).slowness > 50);
+    fleet.run(millis(120)); // one tick, at the daemon's tick interval
+    const std::vector<leaf_report> &firstReports = fleet.receivedReportsAt(0);
+    BOOST_TEST(!firstReports.empty());
+    BOOST_TEST(firstReports.size() < 100U);
+    BOOST_TEST(std::ranges::min(firstReports, {}, &leaf_report::slowness).slowness > 50);
     fleet.run(millis(1000));
-    BOOST_TEST(fleet.reportsAt(0).size() == 100U);
+    BOOST_TEST(fleet.receivedReportsAt(0).size() == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(news_in_any_order_never_goes_back)
+BOOST_AUTO_TEST_CASE(updates_in_any_order_never_restore_an_older_state)
 {
     store_view view;
     view.applyContents({{"a", 5, false, "1"}, {"b", 3, false, "1"}}, 6);
@@ -181,61 +176,61 @@
     BOOST_TEST(view.applyChanges({{"c", 9, false, "1"}}, 9).size() == 1U);
     BOOST_TEST(view.applyChanges({{"never", 9, true, {}}}, 9).size() == 1U);
     BOOST_TEST(view.applyChanges({{"never", 9, false, "1"}}, 9).empty());
-    // Contents read at revision 8 can't know of c.
+    // Full contents read at revision 8 cannot include c, which was written at revision 9.
     BOOST_TEST(view.applyContents({{"a", 5, false, "1"}}, 8).empty());
     BOOST_TEST(view.contents().size() == 2U);
     BOOST_TEST(view.changesSince(7)->size() == 3U);
     BOOST_TEST(!view.changesSince(2).has_value());
 }
 
-// Guards against a reader that missed a deletion and takes what was written after it for the same thing.
-BOOST_AUTO_TEST_CASE(a_key_that_came_to_be_anew_was_deleted_in_between)
+// Guards against a reader that missed a deletion and treats the recreated key as the old entry.
+BOOST_AUTO_TEST_CASE(a_recreated_key_implies_a_deletion)
 {
     store_view view;
     view.applyContents({{"a", 5, false, "1", 2}}, 6);
-    const std::vector<store_item> news = view.applyContents({{"a", 9, false, "2", 8}}, 9);
-    BOOST_REQUIRE(news.size() == 2U);
-    BOOST_TEST(news.front().deleted);
-    BOOST_TEST(news.front().revision == 7U);
-    BOOST_TEST(news.back().value == "2");
+    const std::vector<store_item> updates = view.applyContents({{"a", 9, false, "2", 8}}, 9);
+    BOOST_REQUIRE(updates.size() == 2U);
+    BOOST_TEST(updates.front().deleted);
+    BOOST_TEST(updates.front().revision == 7U);
+    BOOST_TEST(updates.back().value == "2");
     BOOST_TEST(view.applyChanges({{"a", 10, false, "3", 8}}, 10).size() == 1U);
 }
 
-// Guards against a VM that begins to listen, or falls behind, between a removal and a late write, and hears the write
-// alone.
-BOOST_AUTO_TEST_CASE(who_comes_after_a_late_write_hears_of_the_removal_before_it)
+// Guards against a VM that joins, or falls behind, between a deletion and a late write and receives only the write.
+BOOST_AUTO_TEST_CASE(updates_after_a_late_write_include_the_deletion_before_it)
 {
     store_view view;
     view.applyContents({{"a", 5, false, "1"}, {"b", 3, false, "1"}}, 6);
     view.applyChanges({{"a", 7, true, {}}}, 7);
     view.applyChanges({{"a", 8, false, "1"}}, 8);
-    store_view behind;
-    behind.applyContents({{"a", 5, false, "1"}, {"b", 3, false, "1"}}, 6);
-    store_view empty;
-    const std::vector<store_item> missed = behind.applyChanges(*view.changesSince(6), view.revision());
-    const std::vector<store_item> all = empty.applyContents(view.contentsWithDeletions(), view.revision());
-    for (const std::vector<store_item> &news : {missed, all}) {
-        const auto removal = std::ranges::find_if(news, [](const store_item &one) { return one.deleted; });
-        const auto write = std::ranges::find(news, 8U, &store_item::revision);
-        BOOST_REQUIRE(removal != news.end());
-        BOOST_REQUIRE(write != news.end());
-        BOOST_TEST((removal < write));
-        BOOST_TEST(removal->key == "a");
+    store_view laggingView;
+    laggingView.applyContents({{"a", 5, false, "1"}, {"b", 3, false, "1"}}, 6);
+    store_view newView;
+    const std::vector<store_item> missedUpdates = laggingView.applyChanges(*view.changesSince(6), view.revision());
+    const std::vector<store_item> fullContents = newView.applyContents(view.contentsWithDeletions(), view.revision());
+    for (const std::vector<store_item> &updates : {missedUpdates, fullContents}) {
+        const auto deletion = std::ranges::find_if(updates, [](const store_item &item) { return item.deleted; });
+        const auto lateWrite = std::ranges::find(updates, 8U, &store_item::revision);
+        BOOST_REQUIRE(deletion != updates.end());
+        BOOST_REQUIRE(lateWrite != updates.end());
+        BOOST_TEST((deletion < lateWrite));
+        BOOST_TEST(deletion->key == "a");
     }
-    BOOST_TEST(empty.contents().size() == 2U);
+    BOOST_TEST(newView.contents().size() == 2U);
 }
 
-// Guards against a reader that has just begun and takes a late write for a new thing, though others know the removal.
-BOOST_AUTO_TEST_CASE(a_reader_that_starts_hears_of_past_deletions_from_its_followers)
+// Guards against a reader that has just started and treats a late write as a new entry, although other processes know
+// of the deletion.
+BOOST_AUTO_TEST_CASE(a_starting_reader_receives_recent_deletions_from_its_followers)
 {
-    for (const bool writtenAfterStart : {true, false}) {
+    for (const bool writeAfterStart : {true, false}) {
         fleet_world fleet(8);
         fleet.write("leaf", "ready");
         fleet.write("other", "ready");
         fleet.run(millis(4000));
         fleet.write("leaf", "");
         fleet.run(millis(500));
-        if (!writtenAfterStart) {
+        if (!writeAfterStart) {
             fleet.write("leaf", "ready");
             fleet.run(millis(300));
         }
@@ -243,30 +238,31 @@
         fleet.start(0, fleet.now() + millis(200));
         fleet.run(millis(2500));
         BOOST_TEST(fleet.node(0).isReading());
-        if (writtenAfterStart) {
+        if (writeAfterStart) {
             fleet.write("leaf", "ready");
             fleet.run(millis(300));
         }
-        BOOST_TEST(fleet.heardOf(0, "leaf").ends_with("deleted,ready"));
+        BOOST_TEST(fleet.valuesReceived(0, "leaf").ends_with("deleted,ready"));
     }
 }
 
-// Guards against leafs doubted by all after an outage: what lapsed for it has not gone.
-BOOST_AUTO_TEST_CASE(what_lapses_in_the_stores_trouble_is_no_past_deletion)
+// Guards against all VMs treating leafs as unconfirmed after a store outage: entries that expired because of the outage
+// were not deleted.
+BOOST_AUTO_TEST_CASE(entries_that_expire_in_a_store_outage_are_not_recent_deletions)
 {
     fleet_world fleet(8);
     fleet.write("leaf", "ready");
     fleet.run(millis(4000));
-    for (std::size_t at = 0; at < 8; ++at) {
-        fleet.cutFromStore(at, true);
+    for (std::size_t index = 0; index < 8; ++index) {
+        fleet.setStoreUnavailable(index, true);
     }
     fleet.run(millis(3000));
-    for (std::size_t at = 1; at < 8; ++at) {
-        BOOST_TEST(fleet.node(at).storeInTrouble());
+    for (std::size_t index = 1; index < 8; ++index) {
+        BOOST_TEST(fleet.node(index).storeInTrouble());
     }
     fleet.write("leaf", "");
-    for (std::size_t at = 0; at < 8; ++at) {
-        fleet.cutFromStore(at, false);
+    for (std::size_t index = 0; index < 8; ++index) {
+        fleet.setStoreUnavailable(index, false);
     }
     fleet.run(millis(1500));
     fleet.write("leaf", "ready");
@@ -274,28 +270,28 @@
     fleet.kill(5);
     fleet.start(5, fleet.now() + millis(100));
     fleet.run(millis(6000));
-    BOOST_TEST(fleet.heardOf(5, "leaf") == "ready");
-    for (std::size_t at = 0; at < 8; ++at) {
-        BOOST_TEST(!fleet.node(at).storeInTrouble());
+    BOOST_TEST(fleet.valuesReceived(5, "leaf") == "ready");
+    for (std::size_t index = 0; index < 8; ++index) {
+        BOOST_TEST(!fleet.node(index).storeInTrouble());
     }
 }
 
-// Guards against a whole document that grows with all that was ever deleted.
-BOOST_AUTO_TEST_CASE(only_the_latest_deletions_are_told)
+// Guards against full contents that grow with every key that was ever deleted.
+BOOST_AUTO_TEST_CASE(full_contents_include_only_the_latest_deletions)
 {
     store_view view;
     view.applyContents({}, 1);
-    for (std::uint64_t at = 2; at < 1002; ++at) {
-        view.applyChanges({{"k" + std::to_string(at), at, true, {}}}, at);
+    for (std::uint64_t revision = 2; revision < 1002; ++revision) {
+        view.applyChanges({{"k" + std::to_string(revision), revision, true, {}}}, revision);
     }
-    const std::vector<store_item> told = view.contentsWithDeletions();
-    BOOST_TEST(told.size() == 256U);
-    BOOST_TEST(std::ranges::min(told, {}, &store_item::revision).revision == 746U);
+    const std::vector<store_item> contents = view.contentsWithDeletions();
+    BOOST_TEST(contents.size() == 256U);
+    BOOST_TEST(std::ranges::min(contents, {}, &store_item::revision).revision == 746U);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_message_are_refused)
+BOOST_AUTO_TEST_CASE(malformed_payloads_are_rejected)
 {
-    const std::vector<std::uint8_t> nonsense(32, 0xAB);
-    BOOST_TEST(!decodeFleetPayload(nonsense).has_value());
+    const std::vector<std::uint8_t> malformed(32, 0xAB);
+    BOOST_TEST(!decodeFleetPayload(malformed).has_value());
     BOOST_TEST(!decodeFleetPayload({}).has_value());
 }
--- a/libs/fleet/tests/test_fleet_current.cpp
+++ b/libs/fleet/tests/test_fleet_current.cpp
@@ -8,82 +8,83 @@
 
 namespace {
 
-/** Writes something new each 50 ms and looks after each step. @return nodes that took themselves for current wrongly.
- */
-std::size_t falselyCurrentWhile(fleet_world &world, millis time, std::size_t &written)
+/** Writes an update every 50 ms and checks all nodes 50 ms after each. @return the greatest number of falsely current
+ *  nodes that a check found. */
+std::size_t maxFalselyCurrentDuring(fleet_world &world, millis duration, std::size_t &writeCount)
 {
     constexpr millis step(50);
-    std::size_t most = 0;
-    for (millis spent; spent < time; spent = spent + step) {
-        ++written;
-        world.write("k" + std::to_string(written % 20), "v" + std::to_string(written));
+    std::size_t maximum = 0;
+    for (millis elapsed; elapsed < duration; elapsed = elapsed + step) {
+        ++writeCount;
+        world.write("k" + std::to_string(writeCount % 20), "v" + std::to_string(writeCount));
         world.run(step);
-        most = std::max(most, world.falselyCurrent());
+        maximum = std::max(maximum, world.countFalselyCurrent());
     }
-    return most;
+    return maximum;
 }
 
 } // namespace
 
-// Guards against a VM that takes itself for current while the one above it stands still.
-BOOST_AUTO_TEST_CASE(nobody_is_current_by_what_a_silent_process_once_said)
+// Guards against a VM that reports its state as current while its upstream process is paused.
+BOOST_AUTO_TEST_CASE(messages_from_a_paused_process_do_not_confirm_freshness)
 {
-    for (const std::size_t nodes : {8U, 78U}) {
-        fleet_world world(fleet_world_settings {.nodes = nodes, .zones = 4, .fanOut = 4});
-        std::size_t written = 0;
-        BOOST_TEST(falselyCurrentWhile(world, millis(4000), written) == 0U);
-        world.freeze(0, true);
-        BOOST_TEST(falselyCurrentWhile(world, millis(2500), written) == 0U);
-        world.freeze(0, false);
-        BOOST_TEST(falselyCurrentWhile(world, millis(4000), written) == 0U);
-        BOOST_TEST((world.oldestCurrent() < millis(2000)));
+    for (const std::size_t nodeCount : {8U, 78U}) {
+        fleet_world world(fleet_world_settings {.nodeCount = nodeCount, .zoneCount = 4, .fanOut = 4});
+        std::size_t writeCount = 0;
+        BOOST_TEST(maxFalselyCurrentDuring(world, millis(4000), writeCount) == 0U);
+        world.setPaused(0, true);
+        BOOST_TEST(maxFalselyCurrentDuring(world, millis(2500), writeCount) == 0U);
+        world.setPaused(0, false);
+        BOOST_TEST(maxFalselyCurrentDuring(world, millis(4000), writeCount) == 0U);
+        BOOST_TEST((world.maxFreshnessAge() < millis(2000)));
     }
 }
 
-// Guards against ages that are lost where several processes of one path stand still, by turns or at one moment, end, or
-// are cut from the store.
-BOOST_AUTO_TEST_CASE(ages_add_up_along_a_path_that_stands_still_by_turns)
+// Guards against ages of messages that are lost when several processes on one path pause, in turn or at the same time,
+// end, or lose the store.
+BOOST_AUTO_TEST_CASE(store_freshness_stays_true_while_processes_on_a_path_pause_in_turn)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         seeded_random random(seed);
-        fleet_world world(fleet_world_settings {.nodes = 30, .zones = 2, .fanOut = 3, .seed = seed});
-        std::size_t written = 0;
-        std::size_t wrong = falselyCurrentWhile(world, millis(4000), written);
-        std::set<std::size_t> still;
-        for (int turn = 0; turn < 12; ++turn) {
-            const std::size_t at = random.below(turn % 3 == 0 ? 3 : 30);
-            if (still.erase(at) > 0) {
-                world.freeze(at, false);
-            } else if (turn % 5 == 4) {
-                world.kill(at);
-                world.start(at, world.now() + millis(200));
-            } else if (still.size() < 4) {
-                still.insert(at);
-                world.freeze(at, true);
+        fleet_world world(fleet_world_settings {.nodeCount = 30, .zoneCount = 2, .fanOut = 3, .seed = seed});
+        std::size_t writeCount = 0;
+        std::size_t maxFalselyCurrent = maxFalselyCurrentDuring(world, millis(4000), writeCount);
+        std::set<std::size_t> pausedNodes;
+        for (int round = 0; round < 12; ++round) {
+            const std::size_t index = random.below(round % 3 == 0 ? 3 : 30);
+            if (pausedNodes.erase(index) > 0) {
+                world.setPaused(index, false);
+            } else if (round % 5 == 4) {
+                world.kill(index);
+                world.start(index, world.now() + millis(200));
+            } else if (pausedNodes.size() < 4) {
+                pausedNodes.insert(index);
+                world.setPaused(index, true);
             }
-            world.cutFromStore(0, turn % 4 == 3, seed % 2 == 0);
-            wrong = std::max(wrong, falselyCurrentWhile(world, millis(200 + 900 * random.uniform()), written));
+            world.setStoreUnavailable(0, round % 4 == 3, seed % 2 == 0);
+            maxFalselyCurrent = std::max(
+                maxFalselyCurrent, maxFalselyCurrentDuring(world, millis(200 + 900 * random.uniform()), writeCount));
         }
-        std::ranges::for_each(still, [&](std::size_t at) { world.freeze(at, false); });
-        world.cutFromStore(0, false);
-        wrong = std::max(wrong, falselyCurrentWhile(world, millis(5000), written));
-        BOOST_TEST(wrong == 0U, "seed " << seed << ": " << wrong << " wrongly current");
-        BOOST_TEST((world.oldestCurrent() < millis(2000)));
+        std::ranges::for_each(pausedNodes, [&](std::size_t index) { world.setPaused(index, false); });
+        world.setStoreUnavailable(0, false);
+        maxFalselyCurrent = std::max(maxFalselyCurrent, maxFalselyCurrentDuring(world, millis(5000), writeCount));
+        BOOST_TEST(maxFalselyCurrent == 0U, "seed " << seed << ": " << maxFalselyCurrent << " nodes falsely current");
+        BOOST_TEST((world.maxFreshnessAge() < millis(2000)));
     }
 }
 
-// Guards against a vouched moment so old that leafs which leave are given up before their time.
-BOOST_AUTO_TEST_CASE(a_calm_fleet_is_current_within_a_beat_and_some_ticks)
+// Guards against a store freshness that lags so far behind that leaving leafs are given up too early.
+BOOST_AUTO_TEST_CASE(an_undisturbed_fleet_is_current_within_a_heartbeat_and_some_ticks)
 {
-    for (const std::size_t nodes : {8U, 78U, 300U}) {
-        fleet_world world(fleet_world_settings {.nodes = nodes, .zones = 6});
+    for (const std::size_t nodeCount : {8U, 78U, 300U}) {
+        fleet_world world(fleet_world_settings {.nodeCount = nodeCount, .zoneCount = 6});
         world.run(millis(6000));
-        millis oldest;
+        millis maxAge;
         for (int step = 0; step < 40; ++step) {
             world.run(millis(50));
-            oldest = std::max(oldest, world.oldestCurrent());
+            maxAge = std::max(maxAge, world.maxFreshnessAge());
         }
-        BOOST_TEST_MESSAGE(nodes << " processes: current within " << oldest.ceiled() << " ms");
-        BOOST_TEST((oldest < millis(1400)));
+        BOOST_TEST_MESSAGE(nodeCount << " processes: store freshness lags by at most " << maxAge.ceiled() << " ms");
+        BOOST_TEST((maxAge < millis(1400)));
     }
 }
--- a/libs/fleet/tests/test_fleet_items.cpp
+++ b/libs/fleet/tests/test_fleet_items.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string configOf(std::size_t version)
+std::string configText(std::size_t version)
 {
     std::string text = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
     for (std::size_t route = 0; route < 400; ++route) {
@@ -20,91 +20,89 @@
     return text + "]}";
 }
 
-fleet_world_settings zonedFleet()
+fleet_world_settings zonedFleetSettings()
 {
     fleet_world_settings settings;
-    settings.nodes = 60;
-    settings.zones = 6;
+    settings.nodeCount = 60;
+    settings.zoneCount = 6;
     return settings;
 }
 
-std::size_t notesOf(const fleet_world &world, std::string_view event)
+std::size_t countLogEvents(const fleet_world &world, std::string_view event)
 {
-    return static_cast<std::size_t>(
-        std::ranges::count_if(world.notes, [&](const std::string &one) { return one.starts_with(event); }));
+    return static_cast<std::size_t>(std::ranges::count_if(
+        world.logEvents, [&](const std::string &logEvent) { return logEvent.starts_with(event); }));
 }
 
 } // namespace
 
-// Before: a change of one route of 400 went as 40 kB to each of 60 VMs, five in six of them in another zone: 2 MB. Now
-// a difference of some hundred bytes crosses into each zone once: 29 kB measured for twenty changes, signs of life and
-// all.
-BOOST_AUTO_TEST_CASE(a_change_of_one_route_is_told_as_that)
+// Guards against a change of one route of 400 that is sent as 40 kB to each of 60 VMs, five in six of them in another
+// zone: 2 MB. A patch of a few hundred bytes crosses into each zone once: 29 kB for 20 changes, including heartbeats.
+BOOST_AUTO_TEST_CASE(a_change_of_one_route_is_sent_as_a_patch)
 {
-    fleet_world world(zonedFleet());
-    world.write("config", configOf(1));
+    fleet_world world(zonedFleetSettings());
+    world.write("config", configText(1));
     world.run(millis(5000));
-    const std::size_t before = world.bytesAcross;
+    const std::size_t bytesBefore = world.crossZoneBytes;
     for (std::size_t version = 2; version <= 21; ++version) {
-        world.write("config", configOf(version));
+        world.write("config", configText(version));
         world.run(millis(200));
-        BOOST_TEST(world.holders("config") == 60U);
+        BOOST_TEST(world.countHolders("config") == 60U);
     }
-    BOOST_TEST(world.bytesAcross - before < 60000U);
+    BOOST_TEST(world.crossZoneBytes - bytesBefore < 60000U);
 }
 
-// Symptom: a VM serves a configuration that nobody wrote, or none for good.
-// Sequence: a difference does not fit what the VM holds, or its bytes, size or digest are wrong.
-// Cause: a difference is only as good as what it is applied to; without a check the mistake spreads down the tree.
-BOOST_AUTO_TEST_CASE(a_difference_that_does_not_fit_brings_the_whole)
+// Guards against a VM that uses a configuration that nobody wrote, or permanently has none. A patch may not match the
+// VM's stored value, or have wrong bytes, size or digest; unless this is checked, the fault spreads down the tree.
+BOOST_AUTO_TEST_CASE(a_patch_that_does_not_apply_is_replaced_by_the_full_contents)
 {
     const std::vector<std::function<void(item_patch &)>> faults = {
-        [](item_patch &one) { one.baseRevision -= 1; },
-        [](item_patch &one) { one.digest ^= 1; },
-        [](item_patch &one) { one.size += 1; },
-        [](item_patch &one) { one.size = ~0U; },
-        [](item_patch &one) { one.bytes.resize(one.bytes.size() / 2); },
-        [](item_patch &one) { one.bytes.clear(); },
+        [](item_patch &patch) { patch.baseRevision -= 1; },
+        [](item_patch &patch) { patch.digest ^= 1; },
+        [](item_patch &patch) { patch.size += 1; },
+        [](item_patch &patch) { patch.size = ~0U; },
+        [](item_patch &patch) { patch.bytes.resize(patch.bytes.size() / 2); },
+        [](item_patch &patch) { patch.bytes.clear(); },
     };
     for (const auto &fault : faults) {
-        fleet_world world(zonedFleet());
-        world.write("config", configOf(1));
+        fleet_world world(zonedFleetSettings());
+        world.write("config", configText(1));
         world.run(millis(5000));
-        world.spoil = [&](store_items &items) { std::ranges::for_each(items.patches, fault); };
+        world.corruptItems = [&](store_items &items) { std::ranges::for_each(items.patches, fault); };
         for (std::size_t version = 2; version <= 4; ++version) {
-            world.write("config", configOf(version));
+            world.write("config", configText(version));
             world.write("other" + std::to_string(version), "x");
             world.run(millis(500));
-            BOOST_TEST(world.holders("config") == 60U);
-            BOOST_TEST(world.holders("other" + std::to_string(version)) == 60U);
+            BOOST_TEST(world.countHolders("config") == 60U);
+            BOOST_TEST(world.countHolders("other" + std::to_string(version)) == 60U);
         }
-        // Once for each VM and change at most: no loop.
-        BOOST_TEST(notesOf(world, "patch_refused") > 0U);
-        BOOST_TEST(notesOf(world, "patch_refused") <= 3U * 60U);
-        BOOST_TEST(notesOf(world, "lost_upstream") == 0U);
+        // At most once for each VM and change: a refused patch must not cause an endless loop.
+        BOOST_TEST(countLogEvents(world, "patch_refused") > 0U);
+        BOOST_TEST(countLogEvents(world, "patch_refused") <= 3U * 60U);
+        BOOST_TEST(countLogEvents(world, "lost_upstream") == 0U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_process_that_comes_back_gets_what_it_lacks)
+BOOST_AUTO_TEST_CASE(a_resumed_process_receives_only_the_updates_it_missed)
 {
-    fleet_world world(zonedFleet());
-    world.write("config", configOf(1));
+    fleet_world world(zonedFleetSettings());
+    world.write("config", configText(1));
     for (int item = 0; item < 500; ++item) {
-        world.write("leaf" + std::to_string(item), configOf(1).substr(0, 200));
+        world.write("leaf" + std::to_string(item), configText(1).substr(0, 200));
     }
     world.run(millis(5000));
-    world.freeze(17, true);
+    world.setPaused(17, true);
     world.write("leaf7", "changed");
     world.run(millis(6000));
-    const std::size_t before = world.bytesAcross;
-    world.freeze(17, false);
+    const std::size_t bytesBefore = world.crossZoneBytes;
+    world.setPaused(17, false);
     world.run(millis(3000));
-    BOOST_TEST(world.holders("leaf7") == 60U);
-    // Signs of life of five links for three seconds, and less than a whole document.
-    BOOST_TEST(world.bytesAcross - before < 30000U);
+    BOOST_TEST(world.countHolders("leaf7") == 60U);
+    // Heartbeats on five links for three seconds, and less than the full contents.
+    BOOST_TEST(world.crossZoneBytes - bytesBefore < 30000U);
 }
 
-BOOST_AUTO_TEST_CASE(two_processes_that_claim_one_address_end_in_no_loop)
+BOOST_AUTO_TEST_CASE(two_processes_with_one_address_do_not_cause_a_loop)
 {
     fleet_node node({.address = "a:1", .zone = {"z"}, .seeds = {"a:1"}, .prefixes = {prefix}}, 1);
     node.start(millis(1000));
@@ -112,36 +110,36 @@
     follow_request request;
     request.address = "b:1";
     request.zone = {"z"};
-    constexpr link_id first = link_id {1} << 40U;
-    for (link_id link = first; link < first + 10; ++link) {
+    constexpr link_id firstLink = link_id {1} << 40U;
+    for (link_id link = firstLink; link < firstLink + 10; ++link) {
         node.onMessage(link, request, millis(1010));
     }
-    // The newest holds the address; the earlier links are not told anything any more.
-    std::set<link_id> told;
+    // The newest link holds the address; nothing is sent on the earlier links any more.
+    std::set<link_id> notifiedLinks;
     (void)node.takeActions();
     node.tick(millis(1500));
     for (const fleet_action &action : node.takeActions()) {
-        if (const auto *one = std::get_if<tell_action>(&action)) {
-            told.insert(one->links.begin(), one->links.end());
+        if (const auto *sent = std::get_if<tell_action>(&action)) {
+            notifiedLinks.insert(sent->links.begin(), sent->links.end());
         }
     }
-    BOOST_TEST(told == std::set<link_id> {first + 9});
+    BOOST_TEST(notifiedLinks == std::set<link_id> {firstLink + 9});
 }
 
-BOOST_AUTO_TEST_CASE(compressed_frames_that_lie_are_refused)
+BOOST_AUTO_TEST_CASE(corrupted_compressed_frames_are_rejected_or_bounded)
 {
-    store_items items {prefix, true, 7, {{"k", 7, false, configOf(1)}}, {}};
+    store_items items {prefix, true, 7, {{"k", 7, false, configText(1)}}, {}};
     const std::string frame = encodeFleetFrame(items);
-    BOOST_TEST(frame.size() < configOf(1).size() / 2);
+    BOOST_TEST(frame.size() < configText(1).size() / 2);
     std::vector<std::uint8_t> payload(frame.begin() + 4, frame.end());
     BOOST_REQUIRE(decodeFleetPayload(payload).has_value());
-    for (std::size_t at = 0; at < payload.size(); at += 7) {
-        std::vector<std::uint8_t> broken = payload;
-        broken[at] ^= 0x55;
-        const auto read = decodeFleetPayload(broken);
-        // Whatever it is taken for, it must not be more than a frame may hold.
-        BOOST_TEST(
-            (!read || std::get_if<store_items>(&*read) == nullptr || std::get<store_items>(*read).items.size() <= 1U));
+    for (std::size_t offset = 0; offset < payload.size(); offset += 7) {
+        std::vector<std::uint8_t> corrupted = payload;
+        corrupted[offset] ^= 0x55;
+        const auto decoded = decodeFleetPayload(corrupted);
+        // A corrupted frame may still decode to a message, but not to one with more than a frame may hold.
+        BOOST_TEST((!decoded || std::get_if<store_items>(&*decoded) == nullptr
+                    || std::get<store_items>(*decoded).items.size() <= 1U));
     }
     payload.resize(payload.size() / 2);
     BOOST_TEST(!decodeFleetPayload(payload).has_value());
--- a/libs/fleet/tests/test_fleet_requests.cpp
+++ b/libs/fleet/tests/test_fleet_requests.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 
-constexpr request_fingerprint guilty {1, 2};
-constexpr std::array<leaf_digest, 2> two {10, 11};
-constexpr std::array<leaf_digest, 1> third {12};
+constexpr request_fingerprint crashingRequest {1, 2};
+constexpr std::array<leaf_digest, 2> firstTwoLeafs {10, 11};
+constexpr std::array<leaf_digest, 1> thirdLeaf {12};
 
-std::size_t refusing(const fleet_world &world)
+std::size_t countRefusing(const fleet_world &world)
 {
-    return world.standing(guilty, request_standing::Quarantined);
+    return world.countInQuarantineState(crashingRequest, request_standing::Quarantined);
 }
 
-/** Node @p at has seen enough for a verdict. */
-void convict(fleet_world &world, std::size_t at)
+/** Records enough crashes at node @p index for a quarantine verdict. */
+void recordVerdictEvidence(fleet_world &world, std::size_t index)
 {
-    world.accuse(at, guilty, 1, two, false);
-    world.accuse(at, guilty, 2, third, true);
+    world.recordCrashes(index, crashingRequest, 1, firstTwoLeafs, false);
+    world.recordCrashes(index, crashingRequest, 2, thirdLeaf, true);
 }
 
-fleet_world_settings fleetOf(std::size_t nodes, std::size_t zones)
+fleet_world_settings fleetSettings(std::size_t nodeCount, std::size_t zoneCount)
 {
     fleet_world_settings settings;
-    settings.nodes = nodes;
-    settings.zones = zones;
+    settings.nodeCount = nodeCount;
+    settings.zoneCount = zoneCount;
     settings.startSpread = millis(300);
     return settings;
 }
@@ -38,201 +38,200 @@
 } // namespace
 
 /**
- * Symptom: the same request ends leafs once more for each VM.
- * Sequence: it is tried at one VM, its caller asks the next one some milliseconds later.
- * Cause: what one VM had found out stayed with it.
+ * Guards against a request that crashes leafs again through each VM. Its caller retries it at the next VM some
+ * milliseconds after the first; the next VM must have the first one's request evidence by then.
  */
-BOOST_AUTO_TEST_CASE(what_one_vm_found_out_all_know_within_some_round_trips)
+BOOST_AUTO_TEST_CASE(request_evidence_reaches_all_vms_within_some_round_trips)
 {
-    constexpr std::size_t nodes = 300;
-    fleet_world world(fleetOf(nodes, 6));
+    constexpr std::size_t nodeCount = 300;
+    fleet_world world(fleetSettings(nodeCount, 6));
     world.write("config", "c");
     world.run(millis(6000));
-    convict(world, nodes - 1);
-    world.run(millis(20)); // 1 ms each way, some five links of the tree and back
-    BOOST_CHECK_EQUAL(refusing(world), nodes);
+    recordVerdictEvidence(world, nodeCount - 1);
+    world.run(millis(20)); // 1 ms one way, about five links up the tree and down again
+    BOOST_CHECK_EQUAL(countRefusing(world), nodeCount);
     world.run(millis(1000));
-    BOOST_CHECK_LE(world.requestMessages, nodes * 4); // each piece of news once on each link, and no echo
+    BOOST_CHECK_LE(world.requestEvidenceMessages,
+                   nodeCount * 4); // each item of evidence once on each link, without an echo
 }
 
-BOOST_AUTO_TEST_CASE(two_sides_of_a_cut_that_each_saw_a_part_know_all_when_it_heals)
+BOOST_AUTO_TEST_CASE(evidence_from_both_sides_of_a_partition_is_joined_when_it_ends)
 {
-    fleet_world world(fleetOf(8, 4));
+    fleet_world world(fleetSettings(8, 4));
     world.write("config", "c");
     world.run(millis(6000));
-    world.split(4);
+    world.partition(4);
     world.run(millis(3000));
-    world.accuse(0, guilty, 1, two, false);
-    world.accuse(7, guilty, 2, third, true);
+    world.recordCrashes(0, crashingRequest, 1, firstTwoLeafs, false);
+    world.recordCrashes(7, crashingRequest, 2, thirdLeaf, true);
     world.run(millis(1000));
-    BOOST_CHECK_EQUAL(refusing(world), 0U);
-    // On the side without a seed VMs do not find each other and read the store each by itself.
-    BOOST_CHECK_EQUAL(world.standing(guilty, request_standing::Suspect), 5U);
-    world.split(0);
+    BOOST_CHECK_EQUAL(countRefusing(world), 0U);
+    // On the side without a seed, VMs do not find each other, and each reads the store itself.
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Suspect), 5U);
+    world.partition(0);
     world.run(millis(6000));
-    BOOST_CHECK_EQUAL(refusing(world), 8U);
+    BOOST_CHECK_EQUAL(countRefusing(world), 8U);
 }
 
-/** A VM that starts is told before it has a configuration, without which it serves nobody. Only the first seed reads
- * the store itself; it is told as soon as the others have found it. */
-BOOST_AUTO_TEST_CASE(a_vm_that_starts_is_warned_before_it_serves)
+/** A starting VM receives the request evidence before its configuration, without which it serves no caller. Only the
+ * first seed reads the store itself; it receives the evidence as soon as the others have found it. */
+BOOST_AUTO_TEST_CASE(a_starting_vm_receives_request_evidence_before_it_serves)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        fleet_world_settings settings = fleetOf(8, 4);
+        fleet_world_settings settings = fleetSettings(8, 4);
         settings.seed = seed;
         fleet_world world(settings);
         world.write("config", "c");
         world.run(millis(6000));
-        convict(world, seed % 8);
+        recordVerdictEvidence(world, seed % 8);
         world.run(millis(100));
-        for (std::size_t at = 0; at < 8; ++at) {
-            world.kill(at);
-            world.start(at, world.now() + millis(50));
+        for (std::size_t index = 0; index < 8; ++index) {
+            world.kill(index);
+            world.start(index, world.now() + millis(50));
             world.run(millis(1000));
-            BOOST_REQUIRE_EQUAL(refusing(world), 8U);
-            BOOST_REQUIRE_LE(world.servedUnwarned(guilty), at == 0 ? 1U : 0U);
+            BOOST_REQUIRE_EQUAL(countRefusing(world), 8U);
+            BOOST_REQUIRE_LE(world.countWithMissedEvidence(crashingRequest), index == 0 ? 1U : 0U);
             world.run(millis(3000));
-            world.forgetUnwarned();
+            world.clearMissedEvidence();
         }
     }
 }
 
-/** Symptom: a verdict is lost. Sequence: the VM that saw it is killed in the moment of telling, or the tree's top is.
- */
-BOOST_AUTO_TEST_CASE(a_verdict_outlives_the_vms_that_saw_it)
+/** Guards against a lost quarantine verdict when the VM that reached it, or the reader at the top of the tree, is
+ * killed while the request evidence is sent. */
+BOOST_AUTO_TEST_CASE(a_verdict_outlives_the_vms_that_reached_it)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        fleet_world_settings settings = fleetOf(8, 4);
+        fleet_world_settings settings = fleetSettings(8, 4);
         settings.seed = seed;
         fleet_world world(settings);
         world.write("config", "c");
         world.run(millis(6000));
-        const std::size_t witness = seed % 8;
-        convict(world, witness);
-        world.run(millis(1.5)); // one message of the first link has arrived
-        world.kill(witness);
-        world.start(witness, world.now() + millis(200));
+        const std::size_t observer = seed % 8;
+        recordVerdictEvidence(world, observer);
+        world.run(millis(1.5)); // one message on the first link has arrived
+        world.kill(observer);
+        world.start(observer, world.now() + millis(200));
         world.run(millis(8000));
-        BOOST_REQUIRE_EQUAL(refusing(world), 8U);
+        BOOST_REQUIRE_EQUAL(countRefusing(world), 8U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_clears_everywhere)
+BOOST_AUTO_TEST_CASE(an_answer_clears_the_request_at_all_vms)
 {
-    fleet_world world(fleetOf(8, 4));
+    fleet_world world(fleetSettings(8, 4));
     world.write("config", "c");
     world.run(millis(6000));
-    convict(world, 1);
+    recordVerdictEvidence(world, 1);
     world.run(millis(700));
-    world.clear(5, guilty);
+    world.recordAnswer(5, crashingRequest);
     world.run(millis(100));
-    BOOST_CHECK_EQUAL(world.standing(guilty, request_standing::Clear), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), 8U);
     world.kill(3);
     world.start(3, world.now() + millis(50));
     world.run(millis(4000));
-    BOOST_CHECK_EQUAL(world.standing(guilty, request_standing::Clear), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), 8U);
 }
 
 /**
- * Symptom: a lookup that one VM has answered all the time is refused by all.
- * Sequence: leafs end under it at another VM, once under many attempts and once at a trial.
- * Cause: that it was answered before was known only where it was answered.
+ * Guards against all VMs refusing a lookup that one VM has answered all along. Leafs crash under it at another VM, once
+ * under many attempts and once in a canary request; earlier answers must be known to all VMs, not only where they
+ * were given.
  */
-BOOST_AUTO_TEST_CASE(a_vm_that_answered_a_request_speaks_for_it_everywhere)
+BOOST_AUTO_TEST_CASE(an_answer_at_one_vm_counts_for_the_request_at_all_vms)
 {
-    fleet_world world(fleetOf(8, 4));
+    fleet_world world(fleetSettings(8, 4));
     world.write("config", "c");
     world.run(millis(6000));
-    world.clear(5, guilty);
+    world.recordAnswer(5, crashingRequest);
     world.run(millis(1000));
-    convict(world, 1);
+    recordVerdictEvidence(world, 1);
     world.run(millis(100));
-    BOOST_CHECK_EQUAL(world.standing(guilty, request_standing::Suspect), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Suspect), 8U);
 }
 
 /**
- * Symptom: a request that ends leafs is sent to all shards twice, and four attempts of it reach leafs when it should be
- * known.
- * Sequence: it comes first to a VM that has been told to stop, then to the next one.
- * Cause: whoever stops closed its links to the fleet at once, and serves callers for seconds after that.
+ * Guards against a query of death that is sent to all shards twice, and four attempts of which reach leafs although it
+ * should be known. It arrives first at a VM that has been told to stop, then at the next one. A stopping VM serves
+ * callers for seconds, so it must not close its links to the fleet at once.
  */
-BOOST_AUTO_TEST_CASE(a_vm_that_stops_tells_and_hears_until_it_ends)
+BOOST_AUTO_TEST_CASE(a_stopping_vm_sends_and_receives_evidence_until_it_ends)
 {
-    constexpr std::size_t nodes = 8;
-    constexpr millis untilFound(600); // the one at the top looks for whoever reads after it
-    for (std::size_t stopping = 0; stopping < nodes; ++stopping) {
-        fleet_world world(fleetOf(nodes, 4));
+    constexpr std::size_t nodeCount = 8;
+    constexpr millis readerSearchTime(600); // a stopping reader looks for the process that reads after it
+    for (std::size_t stoppingNode = 0; stoppingNode < nodeCount; ++stoppingNode) {
+        fleet_world world(fleetSettings(nodeCount, 4));
         world.write("config", "c");
         world.run(millis(6000));
-        const bool wasTop = world.node(stopping).isReading();
-        world.leave(stopping);
-        convict(world, stopping);
-        world.run(wasTop ? untilFound : millis(20));
-        BOOST_TEST_MESSAGE("node " << stopping << (wasTop ? ", at the top" : ""));
-        BOOST_CHECK_EQUAL(refusing(world), nodes);
-        world.clear((stopping + 1) % nodes, guilty);
-        world.run(untilFound);
-        BOOST_CHECK_EQUAL(world.standing(guilty, request_standing::Clear), nodes);
+        const bool wasReader = world.node(stoppingNode).isReading();
+        world.leave(stoppingNode);
+        recordVerdictEvidence(world, stoppingNode);
+        world.run(wasReader ? readerSearchTime : millis(20));
+        BOOST_TEST_MESSAGE("node " << stoppingNode << (wasReader ? ", the reader" : ""));
+        BOOST_CHECK_EQUAL(countRefusing(world), nodeCount);
+        world.recordAnswer((stoppingNode + 1) % nodeCount, crashingRequest);
+        world.run(readerSearchTime);
+        BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), nodeCount);
         world.run(millis(2000));
-        BOOST_CHECK_EQUAL(world.followersOf(stopping), 0U);
-        BOOST_CHECK_EQUAL(world.membersAt((stopping + 1) % nodes), nodes - 1);
-        BOOST_CHECK_EQUAL(world.readers(), 1U);
+        BOOST_CHECK_EQUAL(world.countFollowers(stoppingNode), 0U);
+        BOOST_CHECK_EQUAL(world.memberCountAt((stoppingNode + 1) % nodeCount), nodeCount - 1);
+        BOOST_CHECK_EQUAL(world.countReaders(), 1U);
         world.write("config", "d");
         world.run(millis(1000));
-        BOOST_CHECK_EQUAL(world.holders("config"), nodes);
+        BOOST_CHECK_EQUAL(world.countHolders("config"), nodeCount);
     }
 }
 
-/** All of them one after the other, as when a new version is rolled out. */
-BOOST_AUTO_TEST_CASE(what_is_found_out_outlives_all_vms_stopping_in_turn)
+/** All VMs stop and restart one after the other, as in the rollout of a new version. */
+BOOST_AUTO_TEST_CASE(request_evidence_outlives_a_rolling_restart_of_all_vms)
 {
-    constexpr std::size_t nodes = 8;
-    fleet_world world(fleetOf(nodes, 4));
+    constexpr std::size_t nodeCount = 8;
+    fleet_world world(fleetSettings(nodeCount, 4));
     world.write("config", "c");
     world.run(millis(6000));
-    for (std::size_t stopping = 0; stopping < nodes; ++stopping) {
-        world.leave(stopping);
+    for (std::size_t stoppingNode = 0; stoppingNode < nodeCount; ++stoppingNode) {
+        world.leave(stoppingNode);
         world.run(millis(300));
-        if (stopping == 0) {
-            convict(world, stopping);
+        if (stoppingNode == 0) {
+            recordVerdictEvidence(world, stoppingNode);
         }
         world.run(millis(1500));
-        world.kill(stopping);
-        world.start(stopping, world.now() + millis(200));
+        world.kill(stoppingNode);
+        world.start(stoppingNode, world.now() + millis(200));
         world.run(millis(1500));
     }
-    BOOST_CHECK_EQUAL(refusing(world), nodes);
+    BOOST_CHECK_EQUAL(countRefusing(world), nodeCount);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_while_nothing_is_found_out)
+BOOST_AUTO_TEST_CASE(no_evidence_message_is_sent_without_evidence)
 {
-    fleet_world world(fleetOf(8, 4));
+    fleet_world world(fleetSettings(8, 4));
     world.write("config", "c");
     world.run(millis(10000));
-    BOOST_CHECK_EQUAL(world.requestMessages, 0U);
+    BOOST_CHECK_EQUAL(world.requestEvidenceMessages, 0U);
 }
 
-BOOST_AUTO_TEST_CASE(evidence_comes_back_whole_from_the_wire)
+BOOST_AUTO_TEST_CASE(request_evidence_is_complete_after_encoding_and_decoding)
 {
-    request_news news;
-    request_evidence &one = news.requests.emplace_back();
-    one.key = guilty;
-    one.route = 7;
-    one.ends = {{1, 10, millis() - millis(5)}, {2, 12, millis() - millis(90000), true}};
-    one.vouched = true;
-    one.answeredAt = millis() - millis(100000);
-    news.requests.push_back({{3, 4}, 8, {}, millis() - millis::never()});
-    const std::string frame = encodeFleetFrame(news);
+    request_news message;
+    request_evidence &evidence = message.requests.emplace_back();
+    evidence.key = crashingRequest;
+    evidence.route = 7;
+    evidence.ends = {{1, 10, millis() - millis(5)}, {2, 12, millis() - millis(90000), true}};
+    evidence.vouched = true;
+    evidence.answeredAt = millis() - millis(100000);
+    message.requests.push_back({{3, 4}, 8, {}, millis() - millis::never()});
+    const std::string frame = encodeFleetFrame(message);
     constexpr std::ptrdiff_t lengthBytes = 4;
     const std::vector<std::uint8_t> payload(frame.begin() + lengthBytes, frame.end());
-    const auto read = std::get<request_news>(decodeFleetPayload(payload).value());
-    BOOST_REQUIRE_EQUAL(read.requests.size(), 2U);
-    BOOST_CHECK(read.requests[0].key == guilty);
-    BOOST_CHECK_EQUAL(read.requests[0].route, 7U);
-    BOOST_CHECK_EQUAL(read.requests[0].ends[1].leaf, 12U);
-    BOOST_CHECK(read.requests[0].ends[1].at == millis() - millis(90000));
-    BOOST_CHECK(!read.requests[0].ends[0].alone && read.requests[0].ends[1].alone);
-    BOOST_CHECK(read.requests[0].vouched && !read.requests[1].vouched);
-    BOOST_CHECK(read.requests[0].answeredAt == one.answeredAt);
-    BOOST_CHECK(read.requests[1].answeredAt == millis() - millis::never());
+    const auto decoded = std::get<request_news>(decodeFleetPayload(payload).value());
+    BOOST_REQUIRE_EQUAL(decoded.requests.size(), 2U);
+    BOOST_CHECK(decoded.requests[0].key == crashingRequest);
+    BOOST_CHECK_EQUAL(decoded.requests[0].route, 7U);
+    BOOST_CHECK_EQUAL(decoded.requests[0].ends[1].leaf, 12U);
+    BOOST_CHECK(decoded.requests[0].ends[1].at == millis() - millis(90000));
+    BOOST_CHECK(!decoded.requests[0].ends[0].alone && decoded.requests[0].ends[1].alone);
+    BOOST_CHECK(decoded.requests[0].vouched && !decoded.requests[1].vouched);
+    BOOST_CHECK(decoded.requests[0].answeredAt == evidence.answeredAt);
+    BOOST_CHECK(decoded.requests[1].answeredAt == millis() - millis::never());
 }
--- a/libs/fleet/tests/test_fleet_start.cpp
+++ b/libs/fleet/tests/test_fleet_start.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-constexpr std::size_t manyNodes = 300;
-constexpr std::size_t seeds = 3;
+constexpr std::size_t largeFleetNodeCount = 300;
+constexpr std::size_t seedCount = 3;
 
-/** VMs with 0.12 of a core and 40 Mbit/s in six zones, as three hundred of them were played. */
-fleet_world_settings largeFleet()
+/** 300 VMs in six zones, each with 0.12 of a core and 40 Mbit/s, as in a trial of that size. */
+fleet_world_settings largeFleetSettings()
 {
     fleet_world_settings settings;
-    settings.nodes = manyNodes;
-    settings.zones = 6;
+    settings.nodeCount = largeFleetNodeCount;
+    settings.zoneCount = 6;
     settings.startSpread = millis(300);
     settings.linkBytesPerMs = 5000;
-    settings.workPerMessage = millis(1); // 120 us of a core
-    settings.workBytesPerMs = 10000; // reading and decoding a megabyte takes 12 ms of a core
+    settings.cpuTimePerMessage = millis(1); // 120 us of a full core
+    settings.cpuBytesPerMs = 10000; // reading and decoding a megabyte takes 12 ms of a full core
     settings.drawInterval = millis(120);
     return settings;
 }
 
-/** JSON-like text of which little is alike by chance. */
+/** JSON-like random text with little repetition. */
 std::string documentText(std::size_t bytes, std::uint64_t seed)
 {
     seeded_random random(seed);
@@ -37,7 +37,7 @@
     return text;
 }
 
-void publish(fleet_world &world)
+void writeStoreContents(fleet_world &world)
 {
     constexpr std::size_t configBytes = 80000;
     world.write("config", documentText(configBytes, 1));
@@ -49,199 +49,196 @@
 
 } // namespace
 
-// Symptom: for 3 to 8 s after a loss of power 2,200 callers are refused since their VM has no configuration.
-// Sequence: 295 processes start within 0.3 s; the seeds have themselves just started; nobody is found within 250 ms and
-// each reads both documents whole, on links and processors that are too small for it.
-// Cause: who reads was decided by one constant and not by how many there are and who is about to know.
-BOOST_AUTO_TEST_CASE(when_all_start_at_once_few_read_and_all_know_soon)
+// Guards against VMs without a configuration refusing 2,200 callers for 3 to 8 s after a power loss. 295 processes and
+// the seeds start within 0.3 s, none finds an upstream within 250 ms, and each reads both full documents on a slow link
+// and CPU. The fleet's size and who is about to have the contents must decide who reads, not one constant.
+BOOST_AUTO_TEST_CASE(a_simultaneous_start_has_few_readers_and_all_know_the_contents_soon)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        fleet_world_settings settings = largeFleet();
+        fleet_world_settings settings = largeFleetSettings();
         settings.seed = seed;
         fleet_world world(settings);
-        publish(world);
+        writeStoreContents(world);
         world.run(millis(1300));
-        BOOST_TEST(world.longestStart().count() <= 1000);
+        BOOST_TEST(world.maxStartupTime().count() <= 1000);
         world.run(millis(3700));
         BOOST_TEST(world.storeCalls <= 40U);
-        BOOST_TEST(world.readers() == 1U);
-        BOOST_TEST(world.holders("config") == manyNodes);
-        BOOST_TEST(world.crossingLinks() <= 12U);
+        BOOST_TEST(world.countReaders() == 1U);
+        BOOST_TEST(world.countHolders("config") == largeFleetNodeCount);
+        BOOST_TEST(world.countCrossZoneLinks() <= 12U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(twice_in_ten_seconds)
+BOOST_AUTO_TEST_CASE(two_restarts_within_ten_seconds_cause_few_store_calls)
 {
-    fleet_world world(largeFleet());
-    publish(world);
+    fleet_world world(largeFleetSettings());
+    writeStoreContents(world);
     world.run(millis(5000));
-    for (int time = 0; time < 2; ++time) {
-        const std::size_t before = world.storeCalls;
+    for (int restart = 0; restart < 2; ++restart) {
+        const std::size_t callsBefore = world.storeCalls;
         world.restartAll(millis(700), millis(300));
         world.run(millis(2500));
-        BOOST_TEST(world.longestStart().count() <= 1000);
-        BOOST_TEST(world.storeCalls - before <= 40U);
+        BOOST_TEST(world.maxStartupTime().count() <= 1000);
+        BOOST_TEST(world.storeCalls - callsBefore <= 40U);
         world.run(millis(2500));
     }
-    BOOST_TEST(world.readers() == 1U);
+    BOOST_TEST(world.countReaders() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_fleet_whose_seeds_start_late_does_not_wait_for_them)
+BOOST_AUTO_TEST_CASE(seeds_that_start_late_do_not_delay_the_fleet)
 {
-    fleet_world world(largeFleet());
-    publish(world);
-    for (std::size_t seed = 0; seed < seeds; ++seed) {
+    fleet_world world(largeFleetSettings());
+    writeStoreContents(world);
+    for (std::size_t seed = 0; seed < seedCount; ++seed) {
         world.start(seed, world.now() + millis(4000));
     }
     world.run(millis(1900));
-    BOOST_TEST(world.holders("config") >= manyNodes - seeds);
+    BOOST_TEST(world.countHolders("config") >= largeFleetNodeCount - seedCount);
     world.run(millis(10000));
-    BOOST_TEST(world.readers() == 1U);
+    BOOST_TEST(world.countReaders() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(dead_seeds_are_nobodys_end)
+BOOST_AUTO_TEST_CASE(a_fleet_without_running_seeds_receives_the_configuration)
 {
-    fleet_world world(largeFleet());
-    publish(world);
-    for (std::size_t seed = 0; seed < seeds; ++seed) {
+    fleet_world world(largeFleetSettings());
+    writeStoreContents(world);
+    for (std::size_t seed = 0; seed < seedCount; ++seed) {
         world.start(seed, millis::never());
     }
     world.run(millis(1800));
-    BOOST_TEST(world.holders("config") == manyNodes - seeds);
+    BOOST_TEST(world.countHolders("config") == largeFleetNodeCount - seedCount);
 }
 
-// Symptom: a VM that the store serves has no configuration.
-// Sequence: the store says nothing to any seed from the start on; the others wait for the seeds.
-// Cause: none; the draws of those below must not wait for more than the seeds' first call.
-BOOST_AUTO_TEST_CASE(seeds_that_the_store_turns_away_at_the_start_are_not_waited_for)
+// Guards against a VM without a configuration although the store serves it. The store does not serve any seed from the
+// start, and the other processes wait for the seeds; the random draws that decide who reads must wait no longer than
+// for the seeds' first store call.
+BOOST_AUTO_TEST_CASE(seeds_without_the_store_at_startup_do_not_delay_the_fleet)
 {
-    for (const bool silent : {true, false}) {
-        fleet_world world(largeFleet());
-        publish(world);
-        for (std::size_t seed = 0; seed < seeds; ++seed) {
-            world.cutFromStore(seed, true, silent);
+    for (const bool unresponsive : {true, false}) {
+        fleet_world world(largeFleetSettings());
+        writeStoreContents(world);
+        for (std::size_t seed = 0; seed < seedCount; ++seed) {
+            world.setStoreUnavailable(seed, true, unresponsive);
         }
         world.run(millis(2800));
-        BOOST_TEST(world.holders("config") == manyNodes);
+        BOOST_TEST(world.countHolders("config") == largeFleetNodeCount);
         BOOST_TEST(world.storeCalls <= 60U);
     }
 }
 
-// Symptom: the store, down for all, gets 4,848 calls.
-// Sequence: each process loses the one above it that reads, and tries for itself, again and again.
-// Cause: all of them tried within the same second, however many there were.
-BOOST_AUTO_TEST_CASE(a_store_that_is_down_is_called_by_few)
+// Guards against 4,848 calls to a store that is down for all processes. Each process loses its upstream reader and
+// calls the store itself, repeatedly; processes must not all do so within the same second, regardless of their number.
+BOOST_AUTO_TEST_CASE(a_store_that_is_down_receives_few_calls)
 {
-    fleet_world world(largeFleet());
-    publish(world);
+    fleet_world world(largeFleetSettings());
+    writeStoreContents(world);
     world.run(millis(5000));
-    const std::size_t before = world.storeCalls;
-    for (std::size_t at = 0; at < manyNodes; ++at) {
-        world.cutFromStore(at, true, true);
+    const std::size_t callsBefore = world.storeCalls;
+    for (std::size_t index = 0; index < largeFleetNodeCount; ++index) {
+        world.setStoreUnavailable(index, true, true);
     }
     world.run(millis(6000));
-    BOOST_TEST(world.storeCalls - before <= 300U);
-    for (std::size_t at = 0; at < manyNodes; ++at) {
-        world.cutFromStore(at, false);
+    BOOST_TEST(world.storeCalls - callsBefore <= 300U);
+    for (std::size_t index = 0; index < largeFleetNodeCount; ++index) {
+        world.setStoreUnavailable(index, false);
     }
     world.write("config", documentText(80000, 99));
     world.run(millis(2500));
-    BOOST_TEST(world.holders("config") == manyNodes);
+    BOOST_TEST(world.countHolders("config") == largeFleetNodeCount);
     world.run(millis(15000));
-    BOOST_TEST(world.readers() == 1U);
+    BOOST_TEST(world.countReaders() == 1U);
 }
 
-// Symptom: VMs that the store serves handle requests by an old configuration.
-// Sequence: the store turns a third of the VMs away, the reader and the other seeds among them; then the configuration
-// changes. Cause: none of the fleet heard of the one that is served.
-BOOST_AUTO_TEST_CASE(a_store_that_turns_a_third_away_is_read_for_all)
+// Guards against VMs that use an outdated configuration although the store serves them. The store stops serving a third
+// of the VMs, including the reader and the other seeds; then the configuration changes. The fleet must learn of a
+// process that the store serves.
+BOOST_AUTO_TEST_CASE(a_store_that_serves_two_thirds_is_read_for_the_whole_fleet)
 {
-    for (const bool silent : {true, false}) {
-        fleet_world world(largeFleet());
-        publish(world);
+    for (const bool unresponsive : {true, false}) {
+        fleet_world world(largeFleetSettings());
+        writeStoreContents(world);
         world.run(millis(5000));
-        const std::size_t before = world.storeCalls;
-        for (std::size_t at = 0; at < manyNodes; at += 3) {
-            world.cutFromStore(at, true, silent);
+        const std::size_t callsBefore = world.storeCalls;
+        for (std::size_t index = 0; index < largeFleetNodeCount; index += 3) {
+            world.setStoreUnavailable(index, true, unresponsive);
         }
-        world.cutFromStore(1, true, silent);
-        world.cutFromStore(2, true, silent);
+        world.setStoreUnavailable(1, true, unresponsive);
+        world.setStoreUnavailable(2, true, unresponsive);
         world.write("config", documentText(80000, 99));
         world.run(millis(3500));
-        BOOST_TEST(world.holders("config") == manyNodes);
-        BOOST_TEST(world.storeCalls - before <= 60U);
+        BOOST_TEST(world.countHolders("config") == largeFleetNodeCount);
+        BOOST_TEST(world.storeCalls - callsBefore <= 60U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_starts_again_follows_at_once)
+BOOST_AUTO_TEST_CASE(a_restarted_zone_follows_the_fleet_at_once)
 {
-    fleet_world world(largeFleet());
-    publish(world);
+    fleet_world world(largeFleetSettings());
+    writeStoreContents(world);
     world.run(millis(5000));
-    const std::size_t before = world.storeCalls;
-    for (std::size_t at = 4; at < manyNodes; at += 6) {
-        world.kill(at);
-        world.start(at, world.now() + millis(500));
+    const std::size_t callsBefore = world.storeCalls;
+    for (std::size_t index = 4; index < largeFleetNodeCount; index += 6) {
+        world.kill(index);
+        world.start(index, world.now() + millis(500));
     }
     world.run(millis(2000));
-    BOOST_TEST(world.holders("config") == manyNodes);
-    BOOST_TEST(world.longestStart().count() <= 1000);
-    BOOST_TEST(world.storeCalls - before <= 10U);
-    BOOST_TEST(world.crossingLinks() <= 12U);
+    BOOST_TEST(world.countHolders("config") == largeFleetNodeCount);
+    BOOST_TEST(world.maxStartupTime().count() <= 1000);
+    BOOST_TEST(world.storeCalls - callsBefore <= 10U);
+    BOOST_TEST(world.countCrossZoneLinks() <= 12U);
 }
 
-// Symptom: a zone gets no news for seconds.
-// Sequence: the VM through which it hears freezes; those below look for another one and are sent back to it.
-// Cause: the process at the top counts it as the zone's link for as long as it remembers it.
-BOOST_AUTO_TEST_CASE(a_frozen_link_into_a_zone_is_replaced)
+// Guards against a zone without store updates for seconds. The VM that connects the zone to the reader pauses; the VMs
+// below look for another upstream, and the reader refers them back to the paused VM for as long as it remembers that
+// VM as the zone's link.
+BOOST_AUTO_TEST_CASE(a_paused_process_that_links_a_zone_is_replaced)
 {
-    fleet_world_settings settings = largeFleet();
-    settings.nodes = 60;
+    fleet_world_settings settings = largeFleetSettings();
+    settings.nodeCount = 60;
     fleet_world world(settings);
-    publish(world);
+    writeStoreContents(world);
     world.run(millis(5000));
-    for (std::size_t at = 3; at < settings.nodes; ++at) {
-        if (!world.node(at).isReading()) {
+    for (std::size_t index = 3; index < settings.nodeCount; ++index) {
+        if (!world.node(index).isReading()) {
             continue;
         }
-        BOOST_FAIL("a seed was expected to read");
+        BOOST_FAIL("a node that is not a seed reads the store");
     }
-    std::set<std::size_t> frozen;
-    for (std::size_t at = 3; at < settings.nodes; at += 6) {
-        if (world.followersOf(at) > 0) {
-            frozen.insert(at);
+    std::set<std::size_t> pausedNodes;
+    for (std::size_t index = 3; index < settings.nodeCount; index += 6) {
+        if (world.countFollowers(index) > 0) {
+            pausedNodes.insert(index);
         }
     }
-    BOOST_TEST(!frozen.empty());
-    std::ranges::for_each(frozen, [&](std::size_t at) { world.freeze(at, true); });
+    BOOST_TEST(!pausedNodes.empty());
+    std::ranges::for_each(pausedNodes, [&](std::size_t index) { world.setPaused(index, true); });
     world.write("config", documentText(80000, 99));
     world.run(millis(3500));
-    BOOST_TEST(world.holders("config") == settings.nodes - frozen.size());
+    BOOST_TEST(world.countHolders("config") == settings.nodeCount - pausedNodes.size());
 }
 
-// Symptom: lists of who there is differ from VM to VM for good.
-// Sequence: processes end and start again while others change their place in the tree.
-// Cause: lists are told as changes, and a change that is lost would stay lost.
-BOOST_AUTO_TEST_CASE(all_know_who_there_is_after_any_sequence_of_ends_and_starts)
+// Guards against member lists that differ between VMs permanently. Processes end and restart while others change their
+// place in the tree; lists are sent as changes, and a change that is lost would stay lost.
+BOOST_AUTO_TEST_CASE(all_processes_know_all_members_after_any_sequence_of_restarts)
 {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        fleet_world_settings settings = largeFleet();
-        settings.nodes = 80;
+        fleet_world_settings settings = largeFleetSettings();
+        settings.nodeCount = 80;
         settings.seed = seed;
         fleet_world world(settings);
-        publish(world);
+        writeStoreContents(world);
         seeded_random random(seed);
         for (int round = 0; round < 30; ++round) {
-            const std::size_t at = random.below(settings.nodes);
-            world.kill(at);
-            world.start(at, world.now() + millis(300) * random.uniform());
+            const std::size_t index = random.below(settings.nodeCount);
+            world.kill(index);
+            world.start(index, world.now() + millis(300) * random.uniform());
             world.run(millis(400) * random.uniform());
         }
         world.run(millis(12000));
-        for (std::size_t at = 0; at < settings.nodes; ++at) {
-            BOOST_TEST(world.membersAt(at) == settings.nodes);
+        for (std::size_t index = 0; index < settings.nodeCount; ++index) {
+            BOOST_TEST(world.memberCountAt(index) == settings.nodeCount);
         }
-        world.run(millis(35000)); // the greatest size of late is remembered for half a minute
-        BOOST_TEST(world.node(7).fleetSize(world.now()) == settings.nodes);
+        world.run(millis(35000)); // the greatest recent fleet size is remembered for 30 s
+        BOOST_TEST(world.node(7).fleetSize(world.now()) == settings.nodeCount);
     }
 }
