--- a/libs/zones/include/zones/zones.h
+++ b/libs/zones/include/zones/zones.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * Availability zones that operators have emptied: nothing is sent to their leafs until they are given back, whatever a
- * caller loses by it. No input or output, no thread, no clock.
+ * Availability zones that operators have drained. The gateway sends nothing to the leafs of a drained zone until the
+ * zone is undrained, even if callers get partial answers or errors for it. No input or output, no thread, no clock.
  */
 
 #include <base/base.h>
@@ -14,46 +14,46 @@
 
 namespace chivelock {
 
-/** The operators' word on zones, as one VM knows it. */
+/** Drained zones, as known to one VM. */
 class emptied_zones
 {
 public:
-    /** @param easing after a zone was given back, until its leafs get their whole part again. */
-    explicit emptied_zones(millis easing = millis(4000))
-        : m_easing(easing)
+    /** @param rampUp time after which the leafs of an undrained zone get their full share of requests again. */
+    explicit emptied_zones(millis rampUp = millis(4000))
+        : m_rampUp(rampUp)
     {
     }
 
-    /** @return false if it was emptied already. */
+    /** Drains the zone. @return false if it was drained already. */
     bool empty(const zone_name &zone);
 
-    /** @return false if it was not emptied. */
+    /** Undrains the zone. @return false if it was not drained. */
     bool giveBack(const zone_name &zone, millis now);
 
     [[nodiscard]] bool isEmptied(const zone_name &zone) const
     {
-        return !m_emptied.empty() && m_emptied.contains(zone);
+        return !m_drained.empty() && m_drained.contains(zone);
     }
 
     /**
-     * The part of the requests meant for the zone's leafs that they may get. They may have turned cold while nobody
-     * asked them: with all VMs coming back at once each would meet a queue of requests that takes longer than any
-     * caller waits.
-     * @return from 0, emptied, to 1.
+     * The share of the requests meant for the zone's leafs that may be sent to them. After an undrain it rises
+     * gradually: the leafs' caches may have turned cold without requests, and if all VMs returned at once, the queue at
+     * each leaf would take longer than any caller waits.
+     * @return from 0 (drained) to 1.
      */
     [[nodiscard]] double shareOf(const zone_name &zone, millis now) const;
 
     [[nodiscard]] std::size_t size() const
     {
-        return m_emptied.size();
+        return m_drained.size();
     }
 
 private:
-    void forgetEased(millis now);
+    void removeFinishedRampUps(millis now);
 
-    millis m_easing;
-    std::unordered_set<zone_name> m_emptied;
-    std::unordered_map<zone_name, millis> m_givenBackAt; ///< while requests come back to it
+    millis m_rampUp;
+    std::unordered_set<zone_name> m_drained;
+    std::unordered_map<zone_name, millis> m_undrainedAt; ///< zones whose share is still rising
 };
 
 } // namespace chivelock
