--- a/libs/quarantine/include/quarantine/quarantine.h
+++ b/libs/quarantine/include/quarantine/quarantine.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * Requests that end the leafs that run them (queries of death). A caller's attempts have ids of their own, so nothing
- * but the request itself tells that it comes again. No input or output, no thread, no clock.
+ * Detection of requests that crash the leafs that run them (queries of death). Each attempt of a caller has its own id,
+ * so a repeated request is recognised only by its content. No input or output, no thread, no clock.
  */
 
 #include <base/base.h>
@@ -21,25 +21,26 @@
 namespace chivelock {
 
 /**
- * What makes two attempts the same request: what a leaf gets to see of it. Not the address that it comes from: leafs
- * see this VM's alone, and one client account reaches each zone's VMs from another address.
+ * The parts that two attempts must share to count as the same request: all that a leaf sees of it. The source address
+ * is not a part: leafs see only the VM's address, and one client account reaches the VMs of each zone from a different
+ * address.
  */
 struct request_identity {
-    std::string_view caller; ///< the credentials in it; empty if it has none
+    std::string_view caller; ///< credentials in the request; empty if it has none
     std::string_view host;
     std::string_view method;
     std::string_view target; ///< path and query, byte for byte
-    std::string_view body; ///< whole, however it was framed
+    std::string_view body; ///< complete, without the transfer encoding
 };
 
-/** Stands for a request across attempts, connections and VMs. The caller has a digest of its own, so that no request of
- *  one caller is ever taken for one of another. */
+/** Identifies a request across attempts, connections and VMs. The caller has a separate digest, so that a request of
+ * one caller is never taken for a request of another. */
 struct request_fingerprint {
     std::uint64_t caller = 0;
     std::uint64_t content = 0;
     auto operator<=>(const request_fingerprint &) const = default;
 
-    /** False for work whose request is not told, by a VM of an earlier version. */
+    /** False for delegated work from a VM of an earlier version, which does not send the request's key. */
     [[nodiscard]] bool isKnown() const
     {
         return caller != 0 || content != 0;
@@ -51,114 +52,121 @@
 /** @return the key in hexadecimal digits, for logs. */
 [[nodiscard]] std::string toString(const request_fingerprint &key);
 
-/** Stands for a route by its name, which all VMs share. */
+/** Identifies a route by its name, which is the same on all VMs. */
 using route_digest = std::uint32_t;
 
 [[nodiscard]] route_digest digestOfRoute(std::string_view name);
 
-/** Drawn for each attempt: ids of attempts are the callers' choice. */
+/** Random number drawn for each attempt, since callers choose the attempt ids in their requests. */
 using attempt_tag = std::uint32_t;
 
-/** Stands in place of a leaf for an attempt at which leafs worked until its time was up: none survived it, none ended.
- */
+/** Takes the place of a leaf for an attempt that timed out: no leaf finished it, and none crashed. */
 inline constexpr leaf_digest noLeaf = 0;
 
-/** A leaf that ended while it ran an attempt. */
+/** A leaf that crashed while it ran an attempt, or an attempt that timed out (@ref noLeaf). */
 struct leaf_end {
     attempt_tag attempt = 0;
     leaf_digest leaf = noLeaf;
-    millis at; ///< on the clock of whoever holds it
-    bool alone = false; ///< the only leaf that had the attempt, of a request that was suspect before
+    millis at; ///< on the clock of the VM that holds this record
+    bool alone = false; ///< canary: the attempt of a suspect request was sent to this leaf only
 };
 
 /**
- * What is known against one request and for it. Two of the same request are joined by taking all ends and the later
- * answer, whichever way round and however often, so VMs need no order and nobody who decides.
+ * Crashes and answers known for one request. Merging takes the union of the crashes and the later answer; it is
+ * commutative and idempotent, so the VMs need no message order and no coordinator.
  */
 struct request_evidence {
     request_fingerprint key;
     route_digest route = 0;
-    std::vector<leaf_end> ends; ///< since the last answer, by attempt and leaf
-    millis answeredAt = millis() - millis::never(); ///< when a leaf last ran the request to its end
-    bool vouched = false; ///< leafs ran it to its end before any of these ended
+    std::vector<leaf_end> ends; ///< crashes since the last answer, one for each attempt and leaf
+    millis answeredAt = millis() - millis::never(); ///< when a leaf last completed the request
+    bool vouched = false; ///< leafs had completed the request before the first of these crashes
 };
 
-/** @return how many leafs ended under it since the last answer, as far as they are kept. */
+/** @return how many leafs crashed under the request since its last answer, of the crashes that are kept. */
 [[nodiscard]] std::size_t endedLeafs(const request_evidence &about);
 
-/** @return attempts since the last answer that no leaf survived, as far as they are kept. */
+/** @return attempts since the last answer that crashed a leaf or timed out, of those that are kept. */
 [[nodiscard]] std::size_t triesInVain(const request_evidence &about);
 
-/** What became of trials of a suspect request at one leaf each. */
-struct trial_events {
-    std::size_t inVain = 0; ///< no leaf survived, ended or not
-    std::size_t ended = 0; ///< of them, those in which a leaf ended
+/** Outcomes of the canary requests of a suspect request. Each canary request is sent to a single leaf. */
+struct canary_outcomes {
+    std::size_t failed = 0; ///< canaries that crashed a leaf or timed out
+    std::size_t crashed = 0; ///< of the failed ones, those that crashed a leaf
 };
 
-/** @return trials since the last answer. Those of several VMs at one time are one event: whatever ended the leaf of one
- *  may have ended that of the next. */
-[[nodiscard]] trial_events trialsOf(const request_evidence &about);
+/** @return outcomes since the last answer. Simultaneous canary requests of several VMs count as one event, since one
+ *  other cause may have crashed the leafs of all of them. */
+[[nodiscard]] canary_outcomes canaryOutcomesOf(const request_evidence &about);
 
-/** How a request is treated. */
+/** Quarantine state of a request: how it is treated. */
 enum class request_standing : std::uint8_t {
     Clear,
-    Suspect, ///< leafs ended under it and none has answered it: one leaf at a time
+    Suspect, ///< leafs crashed under it and none has answered since: sent to one leaf first
     Quarantined ///< refused
 };
 
 [[nodiscard]] std::string_view toString(request_standing standing);
 
-/** Figures of the verdict; each with its reason. */
+/** Thresholds and times for quarantining a request. */
 struct quarantine_settings {
-    std::size_t leafsForVerdict = 3; ///< that end under a request before it is refused
-    /** Leafs end for other reasons, and then every request under way seems guilty, in as many attempts as are under
-     * way. That the one leaf that is asked next ends as well, before it has answered, is another event. */
-    std::size_t trialsForVerdict = 1;
-    std::size_t trialsForVouched = 3; ///< of a request that leafs answered before: others end leafs more likely
-    std::size_t silentTrialsForVerdict = 2; ///< that no leaf survived, ended or not: leafs may be at work for long
-    /** After a trial that ended a leaf under two suspects at once, either of which may have ended it. */
-    millis doubtfulHold {1500};
-    millis hold {600000}; ///< a leaf's software or data are mended in minutes at the soonest
-    unsigned mostDoublings = 2; ///< of the hold, by one for each further attempt under which a leaf ended
-    double spread =
-        0.5; ///< of the hold, by chance for each VM: the first to try again tells the others what came of it
-    std::size_t leafsForGuard = 2; ///< that end under one attempt before others of the route are sent with care
-    millis guardFor {10000}; ///< leafs are back after some seconds, and the next such request meets them
-    std::size_t capacity = 512; ///< requests; 230 kB at most, and as much once for each VM that joins
-    millis vouchFor {600000}; ///< an answer is remembered: leafs' software and data change in minutes at the soonest
+    std::size_t leafsForVerdict = 3; ///< leafs that must crash under a request before it is quarantined
+    /** Crashed canary requests that are needed besides. Leafs also crash for other reasons, and then every request in
+     * flight appears to be the cause, in each of its attempts. A crash of the next leaf that is asked alone, before it
+     * has answered, is a separate event. */
+    std::size_t canariesForVerdict = 1;
+    /** The same for a request that leafs had answered before: another cause of the crashes is more likely. */
+    std::size_t canariesForAnswered = 3;
+    /** Failed canary requests that suffice, whether they crashed a leaf or timed out: a leaf may run for long before it
+     * crashes. */
+    std::size_t failedCanariesForVerdict = 2;
+    /** Hold after a canary request that crashed a leaf which ran two suspects: either may be the cause. */
+    millis ambiguousHold {1500};
+    millis hold {600000}; ///< a fix of a leaf's software or data takes minutes at least
+    unsigned maxHoldDoublings = 2; ///< the hold doubles for each further failed attempt, at most this often
+    /** Random extra share of the hold, different on each VM: the first VM that sends the request again reports the
+     * outcome to the others. */
+    double holdJitter = 0.5;
+    /** Leafs that must crash under one attempt before other requests of the route require a canary. */
+    std::size_t leafsForCanaries = 2;
+    /** How long a route requires canaries: crashed leafs are back after some seconds, and the next such request would
+     * reach them. */
+    millis canaryFor {10000};
+    std::size_t capacity = 512; ///< requests; at most 230 kB of memory, and as much sent once to each VM that joins
+    millis answerRetention {600000}; ///< a leaf's software and data change after minutes at the earliest
 };
 
 /**
- * Requests that leafs have answered. Fixed in size, whatever callers ask: each request has one place, which another one
- * takes over, but that a request that came again is kept for as many others as it came again.
+ * Requests that leafs have answered, in a direct-mapped table of fixed size. A request that was answered repeatedly
+ * withstands as many colliding requests as it had repeats before it is replaced.
  */
-class answer_memory
+class answered_request_cache
 {
 public:
-    void note(const request_fingerprint &key, millis now);
+    void record(const request_fingerprint &key, millis now);
 
-    /** @return whether it was answered not longer ago than @p within, as far as that is still known. */
-    [[nodiscard]] bool knows(const request_fingerprint &key, millis within, millis now) const;
+    /** @return whether the request is in the table with an answer at most @p within old. */
+    [[nodiscard]] bool contains(const request_fingerprint &key, millis within, millis now) const;
 
 private:
-    struct place {
+    struct slot {
         request_fingerprint key;
         millis at;
         std::uint32_t repeats = 0;
     };
-    [[nodiscard]] static std::size_t placeOf(const request_fingerprint &key);
+    [[nodiscard]] static std::size_t slotIndex(const request_fingerprint &key);
 
-    std::vector<place> m_places; ///< none before the first answer
+    std::vector<slot> m_slots; ///< allocated with the first answer
 };
 
-/** What one VM believes of requests, from what it saw and what others told it. */
+/** Evidence of one VM about requests: its own observations and the reports of other VMs. */
 class request_ledger
 {
 public:
-    /** @param seed of this VM, by which its holds differ from others'. */
+    /** @param seed differs between VMs, so that their holds end at different times. */
     explicit request_ledger(quarantine_settings settings, std::uint64_t seed = 0);
 
-    /** New figures; what is known is judged by them from now on. */
+    /** Applies new settings to all evidence, also to what was collected before. */
     void changeSettings(quarantine_settings settings)
     {
         m_settings = settings;
@@ -166,13 +174,15 @@
 
     [[nodiscard]] request_standing standingOf(const request_fingerprint &key, millis now) const;
 
-    /** @return how long the request is still refused. */
+    /** @return the time for which the request is still refused; 0 if it is not quarantined. */
     [[nodiscard]] millis heldFor(const request_fingerprint &key, millis now) const;
 
-    /** Whether leafs ended of late under a request of the route, which may be followed by others like it. */
+    /** Whether requests of the route require a canary, because a request of the route crashed leafs recently and
+     * similar ones may follow. */
     [[nodiscard]] bool isGuarded(route_digest route, millis now) const;
 
-    /** An attempt that no leaf has answered ended these leafs. */
+    /** Records that these leafs crashed under an attempt that no leaf has answered. @p leafs holds @ref noLeaf if it
+     *  timed out. @param alone whether the attempt was a canary request. */
     void addEnds(const request_fingerprint &key,
                  route_digest route,
                  attempt_tag attempt,
@@ -180,29 +190,29 @@
                  bool alone,
                  millis now);
 
-    /** A leaf ran the request to its end. @return whether something was held against it until now. */
+    /** Records that a leaf completed the request. @return whether there was evidence against the request until now. */
     bool addAnswer(const request_fingerprint &key, millis now);
 
-    /** Whether a leaf ran the request to its end of late, as far as this VM remembers. */
+    /** Whether a leaf has completed the request within the retention time, of the answers that this VM still has. */
     [[nodiscard]] bool wasAnswered(const request_fingerprint &key, millis now) const
     {
-        return m_answered.knows(key, m_settings.vouchFor, now);
+        return m_answered.contains(key, m_settings.answerRetention, now);
     }
 
-    /** Joins what another VM knows. @return what was new here, to be passed on; what this VM adds to it comes with
-     *  @ref takeNews. */
-    std::vector<request_evidence> join(std::span<const request_evidence> told, millis now);
+    /** Merges the evidence of another VM. @return the evidence that was new here, to be forwarded; what this VM adds to
+     *  it is returned by @ref takeNews. */
+    std::vector<request_evidence> join(std::span<const request_evidence> received, millis now);
 
-    /** @return what this VM saw itself since the last call. */
+    /** @return requests with new evidence from this VM itself since the last call. */
     [[nodiscard]] std::vector<request_evidence> takeNews();
 
-    /** @return all that is known, for a VM that has just come. */
+    /** @return all evidence, for a VM that has just joined. */
     [[nodiscard]] std::vector<request_evidence> all() const;
 
-    /** @return what is known of the request; nullptr for nothing. Until the next change. */
+    /** @return the evidence about the request, or nullptr. The pointer is valid until the next change. */
     [[nodiscard]] const request_evidence *find(const request_fingerprint &key) const;
 
-    /** Forgets what is too old to matter. */
+    /** Removes expired evidence. */
     void expire(millis now);
 
     [[nodiscard]] std::size_t size() const
@@ -211,21 +221,21 @@
     }
 
 private:
-    bool joinOne(const request_evidence &told, millis now);
-    bool addEnd(request_evidence &to, const leaf_end &end) const;
-    void updateGuard(const request_evidence &about);
-    void makeRoom();
-    [[nodiscard]] bool isGuilty(const request_evidence &about) const;
-    [[nodiscard]] bool isDoubtful(const request_evidence &about) const;
+    bool joinOne(const request_evidence &received, millis now);
+    bool addCrash(request_evidence &to, const leaf_end &crash) const;
+    void updateCanaryRoutes(const request_evidence &about);
+    void evictIfFull();
+    [[nodiscard]] bool isQueryOfDeath(const request_evidence &about) const;
+    [[nodiscard]] bool isAmbiguous(const request_evidence &about) const;
     [[nodiscard]] millis releaseAt(const request_evidence &about) const;
-    [[nodiscard]] millis forgetAt(const request_evidence &about) const;
+    [[nodiscard]] millis expiryOf(const request_evidence &about) const;
 
     quarantine_settings m_settings;
     std::uint64_t m_seed;
     std::map<request_fingerprint, request_evidence> m_known;
-    answer_memory m_answered;
-    std::map<route_digest, millis> m_guardedUntil;
-    std::set<request_fingerprint> m_news;
+    answered_request_cache m_answered;
+    std::map<route_digest, millis> m_canariesUntil;
+    std::set<request_fingerprint> m_updates;
     millis m_nextExpiry;
 };
 
--- a/libs/quarantine/src/request_fingerprint.cpp
+++ b/libs/quarantine/src/request_fingerprint.cpp
@@ -17,7 +17,7 @@
     }
 };
 
-/** Each part with its length: what ends one part and begins the next must not be the same as another division. */
+/** Hashes the part with its length, so that moving bytes from one part to the next changes the digest. */
 void addPart(XXH3_state_t &state, std::string_view part)
 {
     const std::uint64_t length = part.size();
--- a/libs/quarantine/src/request_ledger.cpp
+++ b/libs/quarantine/src/request_ledger.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-// Of one attempt more ends say no more, and a lookup over 180 shards would fill a message with them.
-constexpr std::size_t mostEndsOfAttempt = 3;
-constexpr std::size_t mostAttempts = 8; // the newest: each is one more try, and the hold grows by less of them
+// More crashes of one attempt add no evidence, and those of a lookup over 180 shards would fill a message.
+constexpr std::size_t maxCrashesPerAttempt = 3;
+constexpr std::size_t maxAttempts = 8; // the newest are kept; fewer than these already give the longest hold
 
-/** What is told takes this long at most: an end that is heard after the answer that followed it must not count. */
-constexpr millis answerCovers(500);
+/** Longest time that a report takes to the other VMs. A crash that is received after a later answer must not count. */
+constexpr millis maxReportDelay(500);
 
-/** Leafs that end within this time are one event: a host goes, or one request ends all that have it. */
-constexpr millis eventLasts(250);
+/** Crashes within this time are one event: a host fails, or one request crashes all leafs that run it. */
+constexpr millis eventDuration(250);
 
-constexpr std::size_t answersRemembered = 4096; // a power of two; 128 kB
+constexpr std::size_t answerSlots = 4096; // a power of two; 128 kB
 
-millis lastEndOf(const request_evidence &about)
+millis lastCrashTime(const request_evidence &about)
 {
     millis last = millis() - millis::never();
     for (const leaf_end &one : about.ends) {
@@ -30,7 +30,7 @@
     return last;
 }
 
-std::size_t endsOfAttempt(const request_evidence &about, attempt_tag attempt)
+std::size_t crashesOfAttempt(const request_evidence &about, attempt_tag attempt)
 {
     return static_cast<std::size_t>(std::ranges::count(about.ends, attempt, &leaf_end::attempt));
 }
@@ -63,44 +63,44 @@
     return attempts.size();
 }
 
-trial_events trialsOf(const request_evidence &about)
+canary_outcomes canaryOutcomesOf(const request_evidence &about)
 {
-    std::vector<leaf_end> trials;
-    std::ranges::copy_if(about.ends, std::back_inserter(trials), &leaf_end::alone);
-    std::ranges::sort(trials, {}, &leaf_end::at);
-    trial_events events;
-    millis eventUntil = millis() - millis::never();
-    bool leafEnded = false;
-    for (const leaf_end &one : trials) {
-        if (one.at > eventUntil) {
-            events.inVain += 1;
-            eventUntil = one.at + eventLasts;
-            leafEnded = false;
+    std::vector<leaf_end> canaries;
+    std::ranges::copy_if(about.ends, std::back_inserter(canaries), &leaf_end::alone);
+    std::ranges::sort(canaries, {}, &leaf_end::at);
+    canary_outcomes outcomes;
+    millis eventEnd = millis() - millis::never();
+    bool leafCrashed = false;
+    for (const leaf_end &one : canaries) {
+        if (one.at > eventEnd) {
+            outcomes.failed += 1;
+            eventEnd = one.at + eventDuration;
+            leafCrashed = false;
         }
-        events.ended += one.leaf != noLeaf && !leafEnded ? 1 : 0;
-        leafEnded = leafEnded || one.leaf != noLeaf;
+        outcomes.crashed += one.leaf != noLeaf && !leafCrashed ? 1 : 0;
+        leafCrashed = leafCrashed || one.leaf != noLeaf;
     }
-    return events;
+    return outcomes;
 }
 
-std::size_t answer_memory::placeOf(const request_fingerprint &key)
+std::size_t answered_request_cache::slotIndex(const request_fingerprint &key)
 {
-    return static_cast<std::size_t>(key.content ^ key.caller) & (answersRemembered - 1);
+    return static_cast<std::size_t>(key.content ^ key.caller) & (answerSlots - 1);
 }
 
-void answer_memory::note(const request_fingerprint &key, millis now)
+void answered_request_cache::record(const request_fingerprint &key, millis now)
 {
     if (!key.isKnown()) {
         return;
     }
-    if (m_places.empty()) {
-        m_places.resize(answersRemembered);
+    if (m_slots.empty()) {
+        m_slots.resize(answerSlots);
     }
-    constexpr std::uint32_t mostRepeats = 64; // a popular one that is asked no more goes after as many others
-    place &here = m_places[placeOf(key)];
+    constexpr std::uint32_t maxRepeats = 64; // bounds how many colliding requests a formerly popular one withstands
+    slot &here = m_slots[slotIndex(key)];
     if (here.key == key) {
         here.at = now;
-        here.repeats = std::min(here.repeats + 1, mostRepeats);
+        here.repeats = std::min(here.repeats + 1, maxRepeats);
     } else if (here.repeats > 0) {
         here.repeats -= 1;
     } else {
@@ -108,12 +108,12 @@
     }
 }
 
-bool answer_memory::knows(const request_fingerprint &key, millis within, millis now) const
+bool answered_request_cache::contains(const request_fingerprint &key, millis within, millis now) const
 {
-    if (m_places.empty()) {
+    if (m_slots.empty()) {
         return false;
     }
-    const place &here = m_places[placeOf(key)];
+    const slot &here = m_slots[slotIndex(key)];
     return here.key == key && now < here.at + within;
 }
 
@@ -148,29 +148,31 @@
 }
 
 /**
- * Without trials a lookup that hundreds ask for was refused by all VMs for ten minutes: it is always under way
- * somewhere, so that two of its attempts had lost three leafs whenever another request ended some.
+ * Requires crashed canary requests besides crashed leafs. Without them, a lookup that hundreds of callers sent was
+ * refused by all VMs for ten minutes: some attempt of it is always in flight, so two of its attempts had lost three
+ * leafs whenever another request crashed some.
  */
-bool request_ledger::isGuilty(const request_evidence &about) const
+bool request_ledger::isQueryOfDeath(const request_evidence &about) const
 {
     if (endedLeafs(about) < m_settings.leafsForVerdict) {
         return false;
     }
-    const trial_events trials = trialsOf(about);
+    const canary_outcomes canaries = canaryOutcomesOf(about);
     if (about.vouched) {
-        return trials.ended >= m_settings.trialsForVouched;
+        return canaries.crashed >= m_settings.canariesForAnswered;
     }
-    return trials.ended >= m_settings.trialsForVerdict || trials.inVain >= m_settings.silentTrialsForVerdict;
+    return canaries.crashed >= m_settings.canariesForVerdict || canaries.failed >= m_settings.failedCanariesForVerdict;
 }
 
 /**
- * Of two suspects that a leaf had when it ended, one may be innocent. It is tried again soon; with the evidence of one
- * more trial, at another moment, there is no doubt. One that leafs answered before makes nobody else doubtful.
+ * Whether the canary leaf ran another suspect when it crashed, so that this request may not be the cause. Both are then
+ * tried again soon, and one more canary request at another time decides. A request that leafs had answered before does
+ * not make others ambiguous.
  */
-bool request_ledger::isDoubtful(const request_evidence &about) const
+bool request_ledger::isAmbiguous(const request_evidence &about) const
 {
-    const trial_events trials = trialsOf(about);
-    if (trials.ended != m_settings.trialsForVerdict || trials.inVain >= m_settings.silentTrialsForVerdict) {
+    const canary_outcomes canaries = canaryOutcomesOf(about);
+    if (canaries.crashed != m_settings.canariesForVerdict || canaries.failed >= m_settings.failedCanariesForVerdict) {
         return false;
     }
     const auto isShared = [&](const leaf_end &own) {
@@ -178,28 +180,28 @@
                    const request_evidence &other = one.second;
                    return other.key != about.key && !other.vouched
                        && std::ranges::any_of(other.ends, [&](const leaf_end &end) {
-                              return end.leaf == own.leaf && end.at <= own.at + eventLasts
-                                  && own.at <= end.at + eventLasts;
+                              return end.leaf == own.leaf && end.at <= own.at + eventDuration
+                                  && own.at <= end.at + eventDuration;
                           });
                });
     };
     return std::ranges::any_of(about.ends, isShared);
 }
 
-/** Each further attempt that ended a leaf was a try after a hold, or one on the way while the verdict was: it doubles.
- */
+/** The hold doubles for each further attempt that no leaf survived: it was sent after a hold, or was in flight during
+ *  the verdict. */
 millis request_ledger::releaseAt(const request_evidence &about) const
 {
-    if (isDoubtful(about)) {
-        return lastEndOf(about) + m_settings.doubtfulHold;
+    if (isAmbiguous(about)) {
+        return lastCrashTime(about) + m_settings.ambiguousHold;
     }
-    constexpr std::size_t triesOfFirstVerdict = 2;
-    const std::size_t further = triesInVain(about) - std::min(triesInVain(about), triesOfFirstVerdict);
-    const auto doublings = static_cast<int>(std::min<std::size_t>(further, m_settings.mostDoublings));
+    constexpr std::size_t attemptsForFirstVerdict = 2;
+    const std::size_t further = triesInVain(about) - std::min(triesInVain(about), attemptsForFirstVerdict);
+    const auto doublings = static_cast<int>(std::min<std::size_t>(further, m_settings.maxHoldDoublings));
     constexpr std::uint64_t steps = 1024;
     const std::uint64_t draw = XXH3_64bits_withSeed(&about.key, sizeof about.key, m_seed) % steps;
     const double share = static_cast<double>(draw) / steps;
-    return lastEndOf(about) + m_settings.hold * std::ldexp(1 + m_settings.spread * share, doublings);
+    return lastCrashTime(about) + m_settings.hold * std::ldexp(1 + m_settings.holdJitter * share, doublings);
 }
 
 request_standing request_ledger::standingOf(const request_fingerprint &key, millis now) const
@@ -208,7 +210,7 @@
     if (known == nullptr || known->ends.empty()) {
         return request_standing::Clear;
     }
-    const bool refused = isGuilty(*known) && now < releaseAt(*known);
+    const bool refused = isQueryOfDeath(*known) && now < releaseAt(*known);
     return refused ? request_standing::Quarantined : request_standing::Suspect;
 }
 
@@ -219,69 +221,70 @@
 
 bool request_ledger::isGuarded(route_digest route, millis now) const
 {
-    const auto found = m_guardedUntil.find(route);
-    return found != m_guardedUntil.end() && now < found->second;
+    const auto found = m_canariesUntil.find(route);
+    return found != m_canariesUntil.end() && now < found->second;
 }
 
-/** @return whether it was not known. */
-bool request_ledger::addEnd(request_evidence &to, const leaf_end &end) const
+/** @return whether the crash was new and counts. */
+bool request_ledger::addCrash(request_evidence &to, const leaf_end &crash) const
 {
     const bool known = std::ranges::any_of(
-        to.ends, [&](const leaf_end &one) { return one.attempt == end.attempt && one.leaf == end.leaf; });
-    const bool answeredSince = end.at <= to.answeredAt + answerCovers;
-    const bool enough = endsOfAttempt(to, end.attempt) >= mostEndsOfAttempt;
+        to.ends, [&](const leaf_end &one) { return one.attempt == crash.attempt && one.leaf == crash.leaf; });
+    const bool answeredSince = crash.at <= to.answeredAt + maxReportDelay;
+    const bool enough = crashesOfAttempt(to, crash.attempt) >= maxCrashesPerAttempt;
     if (known || answeredSince || enough) {
         return false;
     }
-    to.ends.push_back(end);
-    if (triesInVain(to) > mostAttempts) {
+    to.ends.push_back(crash);
+    if (triesInVain(to) > maxAttempts) {
         dropOldestAttempt(to);
     }
     return true;
 }
 
-bool request_ledger::joinOne(const request_evidence &told, millis now)
+bool request_ledger::joinOne(const request_evidence &received, millis now)
 {
-    const bool known = m_known.contains(told.key);
-    if (!told.key.isKnown() || (!known && told.ends.empty())) {
+    const bool known = m_known.contains(received.key);
+    if (!received.key.isKnown() || (!known && received.ends.empty())) {
         return false;
     }
     if (!known) {
-        makeRoom();
+        evictIfFull();
     }
-    request_evidence &here = m_known[told.key];
-    here.key = told.key;
-    here.route = told.route;
-    // Ages grow on the way: the same answer heard by two ways must not pass for a later one, or it would run in
-    // circles.
-    const bool answered = told.answeredAt > here.answeredAt + answerCovers;
+    request_evidence &here = m_known[received.key];
+    here.key = received.key;
+    here.route = received.route;
+    // Ages grow in transit. The same answer received over two paths must not count as a newer one, or the VMs would
+    // forward it in a cycle forever.
+    const bool answered = received.answeredAt > here.answeredAt + maxReportDelay;
     if (answered) {
-        here.answeredAt = told.answeredAt;
-        std::erase_if(here.ends, [&](const leaf_end &one) { return one.at <= told.answeredAt + answerCovers; });
+        here.answeredAt = received.answeredAt;
+        std::erase_if(here.ends, [&](const leaf_end &one) { return one.at <= received.answeredAt + maxReportDelay; });
     }
     const bool isFirst = here.ends.empty();
-    const auto added = std::ranges::count_if(told.ends, [&](const leaf_end &one) { return addEnd(here, one); });
+    const auto added = std::ranges::count_if(received.ends, [&](const leaf_end &one) { return addCrash(here, one); });
     if (isFirst && added > 0) {
         here.vouched = false;
     }
-    const bool toldVouched = told.vouched && !here.vouched && !here.ends.empty();
-    here.vouched = here.vouched || toldVouched;
+    const bool receivedVouched = received.vouched && !here.vouched && !here.ends.empty();
+    here.vouched = here.vouched || receivedVouched;
     if (!here.vouched && added > 0 && wasAnswered(here.key, now)) {
         here.vouched = true;
-        m_news.insert(here.key);
+        m_updates.insert(here.key);
     }
-    updateGuard(here);
-    return answered || added > 0 || toldVouched;
+    updateCanaryRoutes(here);
+    return answered || added > 0 || receivedVouched;
 }
 
-void request_ledger::updateGuard(const request_evidence &about)
+void request_ledger::updateCanaryRoutes(const request_evidence &about)
 {
     for (const leaf_end &one : about.ends) {
-        // While it is guarded few leafs are asked at a time, so one that ends says as much as several did before.
-        const bool goesOn = one.leaf != noLeaf && isGuarded(about.route, one.at);
-        if (goesOn || endsOfAttempt(about, one.attempt) >= m_settings.leafsForGuard || isGuilty(about)) {
-            millis &until = m_guardedUntil[about.route];
-            until = std::max(until, one.at + m_settings.guardFor);
+        // While the route requires a canary, few leafs are asked at a time, so one crash is as much evidence as several
+        // before.
+        const bool continues = one.leaf != noLeaf && isGuarded(about.route, one.at);
+        if (continues || crashesOfAttempt(about, one.attempt) >= m_settings.leafsForCanaries || isQueryOfDeath(about)) {
+            millis &until = m_canariesUntil[about.route];
+            until = std::max(until, one.at + m_settings.canaryFor);
         }
     }
 }
@@ -293,50 +296,50 @@
                              bool alone,
                              millis now)
 {
-    request_evidence seen;
-    seen.key = key;
-    seen.route = route;
-    std::ranges::transform(leafs, std::back_inserter(seen.ends), [&](leaf_digest one) {
+    request_evidence observed;
+    observed.key = key;
+    observed.route = route;
+    std::ranges::transform(leafs, std::back_inserter(observed.ends), [&](leaf_digest one) {
         return leaf_end {attempt, one, now, alone};
     });
-    if (joinOne(seen, now)) {
-        m_news.insert(key);
+    if (joinOne(observed, now)) {
+        m_updates.insert(key);
     }
 }
 
 bool request_ledger::addAnswer(const request_fingerprint &key, millis now)
 {
-    m_answered.note(key, now);
+    m_answered.record(key, now);
     const auto known = m_known.empty() ? m_known.end() : m_known.find(key);
     if (known == m_known.end() || known->second.ends.empty()) {
         return false;
     }
     known->second.answeredAt = now;
     known->second.ends.clear();
-    m_news.insert(key);
+    m_updates.insert(key);
     return true;
 }
 
-std::vector<request_evidence> request_ledger::join(std::span<const request_evidence> told, millis now)
+std::vector<request_evidence> request_ledger::join(std::span<const request_evidence> received, millis now)
 {
-    std::vector<request_evidence> news;
-    for (const request_evidence &one : told) {
+    std::vector<request_evidence> updates;
+    for (const request_evidence &one : received) {
         if (joinOne(one, now)) {
-            news.push_back(*find(one.key));
+            updates.push_back(*find(one.key));
         }
     }
-    return news;
+    return updates;
 }
 
 std::vector<request_evidence> request_ledger::takeNews()
 {
-    std::vector<request_evidence> news;
-    for (const request_fingerprint &key : std::exchange(m_news, {})) {
+    std::vector<request_evidence> updates;
+    for (const request_fingerprint &key : std::exchange(m_updates, {})) {
         if (const request_evidence *known = find(key)) {
-            news.push_back(*known);
+            updates.push_back(*known);
         }
     }
-    return news;
+    return updates;
 }
 
 std::vector<request_evidence> request_ledger::all() const
@@ -346,33 +349,34 @@
     return result;
 }
 
-millis request_ledger::forgetAt(const request_evidence &about) const
+millis request_ledger::expiryOf(const request_evidence &about) const
 {
     if (about.ends.empty()) {
-        return about.answeredAt + m_settings.guardFor; // until nobody tells any more of what it answered for
+        return about.answeredAt + m_settings.canaryFor; // until no VM sends crashes any more that the answer refutes
     }
-    // After its release for as long again: whoever ends a leaf at the first try then is refused at once.
-    return isGuilty(about) ? releaseAt(about) + m_settings.hold : lastEndOf(about) + m_settings.hold;
+    // Kept for one more hold after the release: a request whose first attempt then crashes a leaf is refused at once.
+    return isQueryOfDeath(about) ? releaseAt(about) + m_settings.hold : lastCrashTime(about) + m_settings.hold;
 }
 
 void request_ledger::expire(millis now)
 {
-    constexpr millis betweenLooks(1000); // nothing here is told to the second
+    constexpr millis expiryInterval(1000); // no time here needs a precision of one second
     if (now < m_nextExpiry) {
         return;
     }
-    m_nextExpiry = now + betweenLooks;
-    std::erase_if(m_known, [&](const auto &one) { return forgetAt(one.second) <= now; });
-    std::erase_if(m_guardedUntil, [&](const auto &one) { return one.second <= now; });
+    m_nextExpiry = now + expiryInterval;
+    std::erase_if(m_known, [&](const auto &one) { return expiryOf(one.second) <= now; });
+    std::erase_if(m_canariesUntil, [&](const auto &one) { return one.second <= now; });
 }
 
-/** Whoever changes a request each time fills any table: what has no verdict goes first, then what is oldest. */
-void request_ledger::makeRoom()
+/** A caller that changes its request each time can fill any table. Evicts requests without a verdict first, and of
+ *  equals the one with the oldest crash. */
+void request_ledger::evictIfFull()
 {
     if (m_known.size() < m_settings.capacity) {
         return;
     }
-    const auto rank = [&](const auto &one) { return std::pair(isGuilty(one.second), lastEndOf(one.second)); };
+    const auto rank = [&](const auto &one) { return std::pair(isQueryOfDeath(one.second), lastCrashTime(one.second)); };
     m_known.erase(std::ranges::min_element(m_known, {}, rank));
 }
 
