--- a/libs/leafs/include/leafs/leafs.h
+++ b/libs/leafs/include/leafs/leafs.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * What one process knows of leafs: who there is, how fast they are, which of them are in trouble, and how many extra
- * requests may be sent to a service. Pure: events come in with the time.
+ * What one process knows about leafs: which are registered, how fast and healthy they are, and how many extra requests
+ * may be sent to a service. No input or output, no thread, no clock: each event is passed in with its time.
  */
 
 #include <base/base.h>
@@ -22,31 +22,33 @@
 namespace chivelock {
 
 /**
- * After the store's trouble, within which entries that lapsed for it come back. They need two seconds; four after its
- * trouble the store's word counts again, and whoever reads it notices the end up to a second late.
+ * An entry that is missing within this time after the last failure of the store may have expired because of the outage.
+ * Leafs need two seconds to write their entries again. Four seconds after an outage the data of the store counts as
+ * reliable again, and a reader notices the end of the outage up to one second late.
  */
 inline constexpr millis lapseEcho(2500);
 
-/** What a leaf says of itself in the platform's store. */
+/** A leaf's own entry in the platform's store. */
 struct leaf_entry {
     std::string id;
     service_name service;
     std::string address; ///< IP number and port
     zone_name zone;
-    unsigned slots = 1; ///< requests that it processes at a time
+    unsigned slots = 1; ///< number of requests that the leaf processes at the same time
     bool draining = false;
-    millis coldFor; ///< how much longer it is slow after its start
-    std::optional<millis> bornAt; ///< its start by its own time of day; a later one under the same id is another leaf
-    std::uint64_t sequence = 0; ///< rises with what it says of itself; begins anew with each start
+    millis coldFor; ///< remaining time during which its caches are cold after its start
+    /** Start of the process by its own wall clock. A later start under the same id is a new incarnation. */
+    std::optional<millis> bornAt;
+    std::uint64_t sequence = 0; ///< rises with each write of the entry; starts again with each incarnation
 };
 
-/** Follows a quantile of a stream of times without keeping them: each value moves the estimate a small step. */
+/** Estimates a quantile of a stream of times without storing them: each value moves the estimate by a small step. */
 class quantile_tracker
 {
 public:
-    quantile_tracker(double share, millis first)
-        : m_share(share)
-        , m_estimate(first)
+    quantile_tracker(double quantile, millis initial)
+        : m_quantile(quantile)
+        , m_estimate(initial)
     {
     }
 
@@ -58,29 +60,29 @@
     }
 
 private:
-    double m_share;
+    double m_quantile;
     millis m_estimate;
 };
 
-/** How long leafs take for the requests of one route. */
+/** Latency of the requests of one route at its leafs. */
 struct route_pace {
     explicit route_pace(millis objective);
 
-    /** @param took from sending to the answer. @param worked the part of it that was not spent in the leaf's queue. */
+    /** @param took time from the send to the answer. @param worked the part of it outside the leaf's queue. */
     void add(millis took, millis worked);
 
-    /** After this time without an answer a second leaf is worth asking. */
+    /** @return time without an answer after which a hedge is sent to a second leaf. */
     [[nodiscard]] millis hedgeAfter() const;
 
-    quantile_tracker typical; ///< median of the time without the leaf's queue
-    quantile_tracker slow; ///< few answers take longer, queue and all
+    quantile_tracker typical; ///< median time without the leaf's queue
+    quantile_tracker slow; ///< high quantile of the time with the leaf's queue
     millis objective;
 };
 
 /**
- * Extra sends that one VM may make to one service. The fleet's limit is a share of the requests for the service plus a
- * fixed number in each window. Without shared state each VM keeps to the same share of its own requests and to its part
- * of the fixed number, so that the sum over the fleet stays inside the limit whatever the others do.
+ * Limits the extra sends of one VM to one service. The limit for the fleet is a share of the requests for the service
+ * plus a fixed number in each window. The VMs share no state: each one keeps to the same share of its own requests and
+ * to its part of the fixed number, so the sum over the fleet stays within the limit whatever the other VMs do.
  */
 class retry_budget
 {
@@ -93,9 +95,9 @@
 
     void countRequest(millis now);
 
-    /** @param fixedPart extra sends allowed in each window besides the share of requests.
-     *  @param reserve share of the allowance that stays untouched. @return whether the extra send may be made. */
-    [[nodiscard]] bool tryTake(double fixedPart, double reserve, millis now);
+    /** @param fixedAllowance extra sends of this VM in each window besides the share of its requests.
+     *  @param reserve share of the allowance that is not used. @return whether the extra send may be made. */
+    [[nodiscard]] bool tryTake(double fixedAllowance, double reserve, millis now);
 
 private:
     struct slice {
@@ -111,55 +113,57 @@
     std::deque<slice> m_slices;
 };
 
-/** Stands for a leaf's id in reports, which are many: two ids with the same one are a leaf wrongly thought slow. */
+/** Short form of a leaf's id for reports, of which there are many. If two ids collide, one leaf is wrongly treated as
+ *  slow. */
 using leaf_digest = std::uint32_t;
 
-/** Numbers the turns of one VM at one cold leaf. */
-using cold_turn = std::int64_t;
+/** Number of a cold-cache admission slot of one VM at one leaf. */
+using cold_admission_slot = std::int64_t;
 
-/** What a VM knows of the fleet for its turns at cold leafs. */
-struct cold_fleet {
-    std::size_t size = 1; ///< VMs, rather too many than too few
-    std::uint64_t ownSeed = 0; ///< another one for each VM
+/** What a VM needs to know of the fleet to compute its admission slots at cold leafs. */
+struct cold_admission_fleet {
+    std::size_t size = 1; ///< number of VMs; an estimate should be too high rather than too low
+    std::uint64_t ownSeed = 0; ///< differs between VMs
 };
 
 /**
- * Whether this VM may ask a cold leaf now, once in a turn. A cold leaf bears few requests a second from the whole fleet
- * and ends under many more; VMs can't count together, and what each of many saves up would be spent by all at the next
- * burst. So each has a turn of a second at times of its own, drawn for each leaf, and what it does not use lapses.
- * @param perSecond what the leaf bears, above 0. @return the turn that it is in; nothing between turns.
+ * Whether this VM may ask a cold leaf now; it may send one request in each admission slot. A cold leaf sustains few
+ * requests a second from the whole fleet and crashes under many more. The VMs have no common counter, and if each one
+ * saved up its allowance, all would spend it in the next burst. So each VM has slots of one second at its own times,
+ * drawn for each leaf, and an unused slot is lost.
+ * @param perSecond requests that the leaf sustains, above 0. @return the current slot; nothing between slots.
  */
-[[nodiscard]] std::optional<cold_turn>
-coldTurnOf(leaf_digest leaf, const cold_fleet &fleet, double perSecond, millis now);
+[[nodiscard]] std::optional<cold_admission_slot>
+coldTurnOf(leaf_digest leaf, const cold_admission_fleet &fleet, double perSecond, millis now);
 
-/** What a leaf tells of its load in an answer. */
+/** Load of a leaf, as reported in its answers. */
 struct leaf_load {
     unsigned running = 0;
     unsigned waiting = 0;
     unsigned slots = 0;
-    std::optional<double> hostSlowdown; ///< how long work takes on its host at this moment, over the usual
+    std::optional<double> hostSlowdown; ///< current processing time on its host relative to the usual time
 };
 
 [[nodiscard]] leaf_digest digestOf(std::string_view leafId);
 
-/** Stands for a zone in reports. */
+/** Short form of a zone's name for reports. */
 using zone_digest = std::uint16_t;
 
 [[nodiscard]] zone_digest digestOf(const zone_name &zone);
 
-/** What one VM found out about a leaf, for the others: few requests of each VM meet each leaf, yet all together meet a
- *  slow one many times a second. */
+/** Observation of a leaf by one VM, sent to the others. A single VM sends few requests to each leaf, but the whole
+ * fleet reaches a slow leaf many times a second. */
 struct leaf_report {
     leaf_digest leaf = 0;
-    zone_digest observer = 0; ///< zone of the VM that found out: a leaf may serve one zone and fail another
+    zone_digest observer = 0; ///< zone of the reporting VM: a leaf may be reachable from one zone and not from another
     double slowness = 1; ///< see @ref leaf::slowness
-    bool unreachable = false; ///< silent, or no connection
-    millis observedAt; ///< on the clock of whoever holds the report
+    bool unreachable = false; ///< unresponsive, or no connection possible
+    millis observedAt; ///< on the clock of the VM that holds the report
 };
 
 using send_id = std::uint64_t;
 
-/** What this process knows of one leaf. */
+/** State of one leaf as known to this process. */
 struct leaf {
     explicit leaf(leaf_entry described)
         : entry(std::move(described))
@@ -169,112 +173,120 @@
     struct open_send {
         send_id id = 0;
         millis sentAt;
-        millis expectedBy; ///< later than that is a sign of a stall
+        millis expectedBy; ///< no answer until then indicates a stall
     };
 
     leaf_entry entry;
     millis coldUntil;
-    std::optional<cold_turn> coldTurnUsed; ///< the last one in which this VM asked it
-    millis drainSeenAt = millis::never(); ///< since when it may be leaving
-    millis missingSince = millis::never(); ///< since when its entry may be missing from the store
-    bool mayHaveLapsed = false; ///< it is missing for the store's trouble, perhaps
-    millis removeAt = millis::never(); ///< it is forgotten then
-    millis doubtfulUntil = millis() - millis::never(); ///< its entry came back after it was removed
+    std::optional<cold_admission_slot> coldTurnUsed; ///< the last admission slot in which this VM asked the leaf
+    millis drainSeenAt = millis::never(); ///< earliest time since which the leaf may be leaving
+    millis missingSince = millis::never(); ///< earliest time since which its entry may be missing from the store
+    bool mayHaveExpired = false; ///< its entry may be missing only because of a store outage
+    millis removeAt = millis::never(); ///< when the leaf is removed from the directory
+    /** Its entry reappeared after a removal and is unconfirmed until then. */
+    millis unconfirmedUntil = millis() - millis::never();
     bool misdirected = false; ///< another instance answered at its address
-    bool entryUnreadable = false; ///< spoilt by another writer; it is not asked until its entry is written again
-    millis bornHereAt = millis() - millis::never(); ///< word of its id from before that speaks of an earlier life
+    /** The entry was overwritten by another writer; the leaf is not asked until its entry is written again. */
+    bool entryUnreadable = false;
+    millis bornHereAt = millis() - millis::never(); ///< reports from before this time concern the previous incarnation
     std::vector<open_send> open;
     millis lastReplyAt = millis() - millis::never();
-    double slowness = 1; ///< its times over what is typical
-    millis slownessAt; ///< when that was last measured
-    double toldSlowness = 1; ///< as the other VMs know it
-    millis toldAt; ///< since when they do; it fades there as here
-    bool toldUnreachable = false; ///< what the other VMs heard from here
-    millis othersFailAt = millis() - millis::never(); ///< when another VM last found it unreachable
-    millis mixedWork; ///< what its requests take, of all routes in the mix in which they come; 0 before the first
+    double slowness = 1; ///< its processing time relative to the typical time of the route
+    millis slownessAt; ///< when the slowness was last measured
+    double toldSlowness = 1; ///< slowness as last reported to or by the other VMs
+    millis toldAt; ///< time of that value; it decays in all VMs alike
+    bool toldUnreachable = false; ///< reachability as last reported by this VM
+    millis othersFailAt = millis() - millis::never(); ///< when another VM last found the leaf unreachable
+    /** Average processing time over the requests of all routes in the proportion in which they arrive; 0 before the
+     * first request. */
+    millis mixedWork;
     double failing = 0; ///< share of failures among recent answers
     millis failingAt;
     double refusing = 0; ///< share of refusals among recent answers
     millis refusingAt;
-    unsigned keptConnections = 0; ///< idle ones, ready for the next request
-    millis takesConnectionsAt = millis() - millis::never(); ///< when it took one after another had ended unanswered
-    unsigned failuresInRow = 0; ///< without any answer between
+    unsigned keptConnections = 0; ///< idle connections that the next request can use
+    /** When it accepted a new connection after another one had closed without an answer. */
+    millis takesConnectionsAt = millis() - millis::never();
+    unsigned failuresInRow = 0; ///< consecutive failures without an answer in between
     millis downUntil = millis() - millis::never();
     leaf_load load;
     millis loadAt = millis() - millis::never();
 
-    /** Since when it has been silent on a request that should have been answered; never if it is not. */
+    /** @return since when a request to the leaf has been overdue; never if the leaf is not stalled. */
     [[nodiscard]] millis stalledSince() const;
 
-    /** It will leave or is gone from the store; only asked where nobody else is. */
+    /** Whether the leaf drains, its entry is missing, or its return is unconfirmed. Such a leaf is asked only if no
+     * other leaf is available. */
     [[nodiscard]] bool isLeaving() const
     {
-        return entry.draining || removeAt < millis::never() || doubtfulUntil > millis();
+        return entry.draining || removeAt < millis::never() || unconfirmedUntil > millis();
     }
 
-    /** @return since when it may have been leaving; nothing if it is not. */
+    /** @return earliest time since which the leaf may be leaving; nothing if it is not leaving. */
     [[nodiscard]] std::optional<millis> leavingSince() const;
 
-    /** @return a word for logs. */
+    /** @return the state of the leaf for log events. */
     [[nodiscard]] std::string_view standing() const;
 };
 
-/** What is kept of a leaf whose entry is gone: it may be written once more by a write that comes late. */
-struct departed_leaf {
+/** What is kept of a removed leaf, since a delayed write may make its entry reappear. */
+struct removed_leaf {
     millis missingSince;
-    bool mayHaveLapsed = false; ///< for the store's trouble
-    bool draining = false; ///< by its own word
+    bool mayHaveExpired = false; ///< its entry may have expired because of a store outage
+    bool draining = false; ///< according to its own entry
     std::optional<millis> bornAt;
     millis keptUntil;
 };
 
-/** Leafs by id and by service, as the platform's store tells of them. */
+/** Leafs by id and by service, according to the platform's store. */
 class leaf_directory
 {
 public:
-    /** @param hold how long a leaf whose entry is missing stays usable: entries lapse while the store is away. */
+    /** @param hold how long a leaf stays usable after its entry is missing: entries expire during a store outage. */
     explicit leaf_directory(millis hold)
         : m_hold(hold)
     {
     }
 
-    /** How often leafs write their entries; three times that without a word and the store removes one. */
+    /** Sets how often leafs write their entries. The store removes an entry after three intervals without a write. */
     void setHeartbeat(millis interval)
     {
         m_heartbeat = interval;
     }
 
-    /** The store does not answer: entries lapse that their leafs write again when it is back. */
+    /** Records that the store does not answer: entries expire, and their leafs write them again after the outage. */
     void noteStoreTrouble(millis now)
     {
-        m_troubleAt = now;
+        m_storeFailedAt = now;
     }
 
-    /** Everything that the store said up to then is known here. What is learnt after a gap may be as old as that. */
+    /** Records that all changes of the store up to @p asOf have been received. A change that arrives after a gap may
+     * have happened as early as that. */
     void noteCurrent(millis asOf)
     {
         m_currentAsOf = asOf;
     }
 
-    /** @return how long ago what is learnt now may have happened at most. */
+    /** @return the highest possible age of a change that is received now. */
     [[nodiscard]] millis ageOfNews(millis now) const
     {
         return now - std::min(now, m_currentAsOf);
     }
 
-    /** @return true if something changed that matters. */
+    /** Adds or updates a leaf. @return true if its availability changed. */
     bool put(const leaf_entry &entry, millis now);
 
-    /** The entry can't be read: it names no leaf to use until it is written anew. @return false for an unknown id. */
+    /** Records that the entry can't be parsed: the leaf is not asked until the entry is written again.
+     *  @return false for an unknown id. */
     bool markUnreadable(std::string_view id);
 
-    /** The entry is missing from the store. @return false for an unknown id. */
+    /** Records that the entry is missing from the store. @return false for an unknown id. */
     bool remove(std::string_view id, millis now);
 
-    /** Removes all that are not in @p entries, puts the others. */
+    /** Removes all leafs that are not in @p entries and puts the others. */
     void replaceAll(std::span<const leaf_entry> entries, millis now);
 
-    /** Forgets leafs whose hold is over. @return how many. */
+    /** Removes leafs whose hold time is over. @return how many. */
     std::size_t expire(millis now);
 
     [[nodiscard]] std::span<const std::shared_ptr<leaf>> of(const service_name &service) const;
@@ -289,22 +301,22 @@
     [[nodiscard]] std::size_t countIn(const zone_name &zone) const;
 
 private:
-    [[nodiscard]] bool mayLapse(millis now) const;
-    [[nodiscard]] millis sinceWhen(bool mayHaveLapsed, millis now) const;
+    [[nodiscard]] bool isWithinOutageWindow(millis now) const;
+    [[nodiscard]] millis earliestMissingTime(bool mayHaveExpired, millis now) const;
     void add(const leaf_entry &entry, millis now);
     bool update(leaf &known, const leaf_entry &entry, millis now);
-    void unlink(const leaf &gone);
-    void keepDeparted(std::string_view id, const departed_leaf &gone);
-    void forgetDeparted(millis now);
-    void takeReturn(leaf &known, const departed_leaf &before, millis now);
-    void endDoubt(leaf &known, millis now);
+    void unlink(const leaf &removed);
+    void keepRemoved(std::string_view id, const removed_leaf &removed);
+    void expireRemoved(millis now);
+    void markReturned(leaf &known, const removed_leaf &before, millis now);
+    void confirmReturn(leaf &known, millis now);
 
     millis m_hold;
     millis m_heartbeat {1200};
     millis m_currentAsOf = millis::never();
-    millis m_troubleAt = millis() - millis::never(); ///< last sign of the store's
+    millis m_storeFailedAt = millis() - millis::never(); ///< last failure of the store
     std::map<std::string, std::shared_ptr<leaf>, std::less<>> m_byId;
-    std::map<std::string, departed_leaf, std::less<>> m_departed;
+    std::map<std::string, removed_leaf, std::less<>> m_removed;
     std::unordered_map<service_name, std::vector<std::shared_ptr<leaf>>> m_byService;
     std::unordered_map<leaf_digest, std::shared_ptr<leaf>> m_byDigest;
     millis m_nextExpiry = millis::never();
--- /dev/null
+++ b/libs/leafs/src/latency_estimates.cpp
@@ -0,0 +1,49 @@
+#include <leafs/leafs.h>
+
+#include <algorithm>
+
+namespace chivelock {
+
+namespace {
+
+// Relative change of an estimate by one value. The estimate follows a change within about 20 answers.
+constexpr double trackerStep = 0.1;
+// This share of the answers arrives before a hedge is sent. A hedge occupies a slot of a leaf that is half loaded, and
+// mostly transfers bytes from another zone.
+constexpr double hedgeQuantile = 0.98;
+constexpr double initialMedianShare = 0.15; // of the objective, before the first answers
+constexpr double initialTailShare = 0.3;
+constexpr double minHedgeOverMedian = 1.4; // an earlier hedge would mostly cross the first answer in transit
+constexpr double maxHedgeOverObjective = 0.45; // a later hedge could not be answered in time either
+
+} // namespace
+
+void quantile_tracker::add(millis value)
+{
+    const bool above = value > m_estimate;
+    m_estimate = m_estimate * (above ? 1 + trackerStep * m_quantile : 1 - trackerStep * (1 - m_quantile));
+    constexpr millis minEstimate(0.1); // an estimate of zero could never grow again
+    m_estimate = std::max(m_estimate, minEstimate);
+}
+
+route_pace::route_pace(millis latencyObjective)
+    : typical(0.5, latencyObjective * initialMedianShare)
+    , slow(hedgeQuantile, latencyObjective * initialTailShare)
+    , objective(latencyObjective)
+{
+}
+
+void route_pace::add(millis took, millis worked)
+{
+    typical.add(worked);
+    slow.add(took);
+}
+
+millis route_pace::hedgeAfter() const
+{
+    const millis minDelay = typical.estimate() * minHedgeOverMedian;
+    const millis maxDelay = std::max(minDelay, objective * maxHedgeOverObjective);
+    return std::clamp(slow.estimate(), minDelay, maxDelay);
+}
+
+} // namespace chivelock
--- a/libs/leafs/src/leaf_directory.cpp
+++ b/libs/leafs/src/leaf_directory.cpp
@@ -10,33 +10,35 @@
 
 namespace {
 
-constexpr double outlivedHeartbeats = 4; // the store removes an entry after three, and tells it
-// Between a leaf's last write and the moment at which the store does it, where the store counts as stable by then.
-constexpr millis latestWrite(2000);
-constexpr millis rememberDeparted(60000); // ten times what the latest write of all takes
-constexpr std::size_t mostDeparted = 4096; // some hundred kilobytes; a new set of shards ends some hundred leafs
-constexpr millis lookAgain(100); // whether this process is current by now
+constexpr double confirmationHeartbeats = 4; // the store removes an entry after three and sends an update
+// Longest time from a leaf's last write until the store applies it, if the store counts as stable by then.
+constexpr millis maxWriteDelay(2000);
+constexpr millis removedRetention(60000); // ten times the longest delay of any write
+// A few hundred kilobytes of memory. Replacing a set of shards removes a few hundred leafs.
+constexpr std::size_t maxRemovedLeafs = 4096;
+constexpr millis confirmationRetry(100); // interval of checks whether the store's updates have caught up
 
-constexpr millis longestCold(60000); // leafs warm up in seconds; anyone may write anything into an entry
+constexpr millis maxColdTime(60000); // leafs warm up in seconds, but an entry may contain any value
 
-bool isBornAfter(std::optional<millis> birth, std::optional<millis> before)
+bool startedLater(std::optional<millis> start, std::optional<millis> before)
 {
-    return birth && before && *birth > *before;
+    return start && before && *start > *before;
 }
 
-/** A heartbeat that was long on its way: of an earlier life of the leaf, or overtaken by a later one of the same. */
+/** Whether the entry is a delayed heartbeat of an earlier incarnation, or older than the last one of this incarnation.
+ */
 bool isOutdated(const leaf_entry &entry, const leaf_entry &known)
 {
     if (!entry.bornAt || !known.bornAt) {
-        return false; // a lower count may be a new life as well
+        return false; // a lower sequence may also belong to a new incarnation
     }
     return *entry.bornAt < *known.bornAt || entry.sequence < known.sequence;
 }
 
-departed_leaf departureOf(const leaf &gone, millis now)
+removed_leaf removedStateOf(const leaf &removed, millis now)
 {
-    const millis since = std::min(gone.drainSeenAt, gone.missingSince);
-    return {since, gone.mayHaveLapsed, gone.entry.draining, gone.entry.bornAt, now + rememberDeparted};
+    const millis since = std::min(removed.drainSeenAt, removed.missingSince);
+    return {since, removed.mayHaveExpired, removed.entry.draining, removed.entry.bornAt, now + removedRetention};
 }
 
 } // namespace
@@ -55,7 +57,8 @@
 {
     millis since = millis::never();
     for (const open_send &one : open) {
-        // An answer to another request after this one was due shows that the leaf is at work, only this one is long.
+        // An answer to another request after this one was due shows that the leaf works and only this request takes
+        // long.
         if (lastReplyAt < one.expectedBy) {
             since = std::min(since, one.expectedBy);
         }
@@ -89,17 +92,17 @@
         std::ranges::count_if(m_byId, [&](const auto &one) { return one.second->entry.zone == zone; }));
 }
 
-/** Whether an entry that turns out to be missing now may have lapsed for the store's trouble alone. */
-bool leaf_directory::mayLapse(millis now) const
+/** Whether an entry that is found missing now may have expired only because of a store outage. */
+bool leaf_directory::isWithinOutageWindow(millis now) const
 {
-    return now - m_troubleAt < lapseEcho;
+    return now - m_storeFailedAt < lapseEcho;
 }
 
-/** @return since when an entry that is missing now may have been so. One that lapsed for trouble has its time to return
- *  from the moment at which the store can be read again. */
-millis leaf_directory::sinceWhen(bool mayHaveLapsed, millis now) const
+/** @return earliest time since which an entry that is missing now may have been missing. An entry that expired in an
+ *  outage gets its full hold time from the moment at which the store can be read again. */
+millis leaf_directory::earliestMissingTime(bool mayHaveExpired, millis now) const
 {
-    return mayHaveLapsed ? now : std::min(now, m_currentAsOf);
+    return mayHaveExpired ? now : std::min(now, m_currentAsOf);
 }
 
 bool leaf_directory::put(const leaf_entry &entry, millis now)
@@ -110,8 +113,8 @@
         return true;
     }
     leaf &known = *found->second;
-    if (isBornAfter(entry.bornAt, known.entry.bornAt)) {
-        // It holds and knows nothing of before: neither its drain nor what was slow or silent says anything of it.
+    if (startedLater(entry.bornAt, known.entry.bornAt)) {
+        // The new incarnation has no state of the previous one: its drain, slowness and failures do not apply.
         unlink(known);
         m_byId.erase(found);
         add(entry, now);
@@ -124,38 +127,38 @@
 void leaf_directory::add(const leaf_entry &entry, millis now)
 {
     auto added = std::make_shared<leaf>(entry);
-    added->coldUntil = now + std::min(entry.coldFor, longestCold);
-    // Since when it drains is not known here, perhaps for as long as it may be asked.
+    added->coldUntil = now + std::min(entry.coldFor, maxColdTime);
+    // The start of the drain is unknown here; the leaf may already have drained for its whole drain time.
     added->drainSeenAt = entry.draining ? millis() : millis::never();
-    if (const auto before = m_departed.find(entry.id); before != m_departed.end()) {
-        if (!isBornAfter(entry.bornAt, before->second.bornAt)) {
-            takeReturn(*added, before->second, now);
+    if (const auto before = m_removed.find(entry.id); before != m_removed.end()) {
+        if (!startedLater(entry.bornAt, before->second.bornAt)) {
+            markReturned(*added, before->second, now);
         }
-        m_departed.erase(before);
+        m_removed.erase(before);
     }
     m_byId.emplace(entry.id, added);
     m_byDigest[digestOf(entry.id)] = added;
     m_byService[entry.service].push_back(std::move(added));
 }
 
-/** @return true if something changed that matters. */
+/** @return true if the availability of the leaf changed. */
 bool leaf_directory::update(leaf &known, const leaf_entry &entry, millis now)
 {
     const bool returned = known.removeAt < millis::never();
     const bool readableAgain = std::exchange(known.entryUnreadable, false);
     const bool drainsNow = entry.draining && !known.entry.draining;
     if (drainsNow) {
-        known.entry.draining = true; // until it ends: what says otherwise was written before
+        known.entry.draining = true; // until the process ends: an entry that says otherwise was written before
         known.drainSeenAt = std::min({known.drainSeenAt, now, m_currentAsOf});
     }
     if (returned) {
-        takeReturn(known, departureOf(known, now), now);
+        markReturned(known, removedStateOf(known, now), now);
     }
     known.missingSince = millis::never();
     known.removeAt = millis::never();
     known.entry.slots = entry.slots;
     known.entry.sequence = entry.sequence;
-    known.coldUntil = now + std::min(entry.coldFor, longestCold);
+    known.coldUntil = now + std::min(entry.coldFor, maxColdTime);
     return returned || readableAgain || drainsNow;
 }
 
@@ -170,28 +173,29 @@
 }
 
 /**
- * A leaf that leaves may have its entry removed and then written once more by a write that was still on its way. Taken
- * for a return, it would get requests for as long as the entry takes to lapse, past the limit. So it counts as leaving
- * since the removal until it has outlived that time. After trouble of the store entries return for good; what a leaf
- * itself said of its leaving holds in any case.
+ * The entry of a leaving leaf may be removed and then written once more by a write that was still in transit. If that
+ * counted as a return, the leaf would get requests past the drain limit, until the entry expires. So the leaf counts as
+ * leaving since the removal, and its return is unconfirmed until the entry has outlived that time. After a store outage
+ * entries return for good. A leaf whose own entry said that it drains stays draining in any case.
  */
-void leaf_directory::takeReturn(leaf &known, const departed_leaf &before, millis now)
+void leaf_directory::markReturned(leaf &known, const removed_leaf &before, millis now)
 {
     known.entry.draining = known.entry.draining || before.draining;
-    if (before.mayHaveLapsed && !known.entry.draining) {
+    if (before.mayHaveExpired && !known.entry.draining) {
         return;
     }
     known.drainSeenAt = std::min(known.drainSeenAt, before.missingSince);
-    known.doubtfulUntil = std::max(now, before.missingSince + latestWrite) + m_heartbeat * outlivedHeartbeats;
-    m_nextExpiry = std::min(m_nextExpiry, known.doubtfulUntil);
+    known.unconfirmedUntil = std::max(now, before.missingSince + maxWriteDelay) + m_heartbeat * confirmationHeartbeats;
+    m_nextExpiry = std::min(m_nextExpiry, known.unconfirmedUntil);
 }
 
-/** That it has outlived the time shows only to one that would know of the contrary: the store may be silent. */
-void leaf_directory::endDoubt(leaf &known, millis now)
+/** Confirms the return if all updates of the store up to the end of that time are known. Passing time alone confirms
+ *  nothing: if the store is unresponsive, a removal would not have been received. */
+void leaf_directory::confirmReturn(leaf &known, millis now)
 {
-    const bool doubtful = known.doubtfulUntil > millis();
-    if (doubtful && known.doubtfulUntil <= std::min(now, m_currentAsOf) && known.removeAt == millis::never()) {
-        known.doubtfulUntil = millis() - millis::never();
+    const bool unconfirmed = known.unconfirmedUntil > millis();
+    if (unconfirmed && known.unconfirmedUntil <= std::min(now, m_currentAsOf) && known.removeAt == millis::never()) {
+        known.unconfirmedUntil = millis() - millis::never();
         known.drainSeenAt = known.entry.draining ? known.drainSeenAt : millis::never();
     }
 }
@@ -200,16 +204,18 @@
 {
     const auto found = m_byId.find(id);
     if (found == m_byId.end()) {
-        const bool mayHaveLapsed = mayLapse(now);
-        keepDeparted(id, {sinceWhen(mayHaveLapsed, now), mayHaveLapsed, false, std::nullopt, now + rememberDeparted});
+        const bool mayHaveExpired = isWithinOutageWindow(now);
+        keepRemoved(
+            id,
+            {earliestMissingTime(mayHaveExpired, now), mayHaveExpired, false, std::nullopt, now + removedRetention});
         return false;
     }
-    leaf &gone = *found->second;
-    if (gone.removeAt == millis::never()) {
-        gone.mayHaveLapsed = mayLapse(now);
-        gone.missingSince = sinceWhen(gone.mayHaveLapsed, now);
-        gone.removeAt = gone.missingSince + m_hold;
-        m_nextExpiry = std::min(m_nextExpiry, gone.removeAt);
+    leaf &missing = *found->second;
+    if (missing.removeAt == millis::never()) {
+        missing.mayHaveExpired = isWithinOutageWindow(now);
+        missing.missingSince = earliestMissingTime(missing.mayHaveExpired, now);
+        missing.removeAt = missing.missingSince + m_hold;
+        m_nextExpiry = std::min(m_nextExpiry, missing.removeAt);
     }
     return true;
 }
@@ -228,19 +234,19 @@
     }
 }
 
-/** The first word of its end counts. */
-void leaf_directory::keepDeparted(std::string_view id, const departed_leaf &gone)
+/** The first removal counts; later ones do not change it. */
+void leaf_directory::keepRemoved(std::string_view id, const removed_leaf &removed)
 {
-    m_departed.try_emplace(std::string(id), gone);
-    if (m_departed.size() > mostDeparted) {
+    m_removed.try_emplace(std::string(id), removed);
+    if (m_removed.size() > maxRemovedLeafs) {
         const auto keptUntil = [](const auto &one) { return one.second.keptUntil; };
-        m_departed.erase(std::ranges::min_element(m_departed, {}, keptUntil));
+        m_removed.erase(std::ranges::min_element(m_removed, {}, keptUntil));
     }
 }
 
-void leaf_directory::forgetDeparted(millis now)
+void leaf_directory::expireRemoved(millis now)
 {
-    std::erase_if(m_departed, [&](const auto &one) { return one.second.keptUntil <= now; });
+    std::erase_if(m_removed, [&](const auto &one) { return one.second.keptUntil <= now; });
 }
 
 std::size_t leaf_directory::expire(millis now)
@@ -249,20 +255,20 @@
         return 0;
     }
     m_nextExpiry = millis::never();
-    forgetDeparted(now);
+    expireRemoved(now);
     std::size_t removed = 0;
     for (auto at = m_byId.begin(); at != m_byId.end();) {
         if (at->second->removeAt <= now) {
-            keepDeparted(at->first, departureOf(*at->second, now));
+            keepRemoved(at->first, removedStateOf(*at->second, now));
             unlink(*at->second);
             at = m_byId.erase(at);
             ++removed;
             continue;
         }
-        endDoubt(*at->second, now);
-        const bool doubtful = at->second->doubtfulUntil > millis();
-        const millis nextLook = std::max(at->second->doubtfulUntil, now + lookAgain);
-        m_nextExpiry = std::min({m_nextExpiry, at->second->removeAt, doubtful ? nextLook : millis::never()});
+        confirmReturn(*at->second, now);
+        const bool unconfirmed = at->second->unconfirmedUntil > millis();
+        const millis nextCheck = std::max(at->second->unconfirmedUntil, now + confirmationRetry);
+        m_nextExpiry = std::min({m_nextExpiry, at->second->removeAt, unconfirmed ? nextCheck : millis::never()});
         ++at;
     }
     return removed;
@@ -286,14 +292,14 @@
     return found == m_byDigest.end() ? nullptr : found->second;
 }
 
-void leaf_directory::unlink(const leaf &gone)
+void leaf_directory::unlink(const leaf &removed)
 {
-    m_byDigest.erase(digestOf(gone.entry.id));
-    const auto found = m_byService.find(gone.entry.service);
+    m_byDigest.erase(digestOf(removed.entry.id));
+    const auto found = m_byService.find(removed.entry.service);
     if (found == m_byService.end()) {
         return;
     }
-    std::erase_if(found->second, [&](const std::shared_ptr<leaf> &one) { return one.get() == &gone; });
+    std::erase_if(found->second, [&](const std::shared_ptr<leaf> &one) { return one.get() == &removed; });
     if (found->second.empty()) {
         m_byService.erase(found);
     }
--- a/libs/leafs/src/retry_budget.cpp
+++ b/libs/leafs/src/retry_budget.cpp
@@ -28,7 +28,7 @@
     current(now).requests += 1;
 }
 
-bool retry_budget::tryTake(double fixedPart, double reserve, millis now)
+bool retry_budget::tryTake(double fixedAllowance, double reserve, millis now)
 {
     slice &latest = current(now);
     double requests = 0;
@@ -37,7 +37,7 @@
         requests += one.requests;
         extras += one.extras;
     }
-    const double allowed = (m_ratio * requests + fixedPart) * (1 - reserve);
+    const double allowed = (m_ratio * requests + fixedAllowance) * (1 - reserve);
     if (extras + 1 > allowed) {
         return false;
     }
--- a/libs/leafs/tests/test_leafs.cpp
+++ b/libs/leafs/tests/test_leafs.cpp
@@ -21,10 +21,9 @@
 
 } // namespace
 
-// Symptom: nothing can be served for seconds after the store was away.
-// Sequence: entries lapse while the store is down; it comes back without them; the leafs register again.
-// Cause: their absence was taken for their end at once.
-BOOST_AUTO_TEST_CASE(lapsed_entries_are_kept_until_their_time_to_return_is_over)
+// Guards against seconds without service after a store outage. Entries expire while the store is down, and
+// leafs register again after it is back. A missing entry must not remove the leaf at once.
+BOOST_AUTO_TEST_CASE(expired_entries_are_kept_until_their_hold_time_is_over)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -39,9 +38,8 @@
     BOOST_TEST(directory.of({"s"}).empty());
 }
 
-// Symptom: a leaf gets requests 3.3 s after the store knew that it leaves.
-// Sequence: it drains; a process starts a little later and reads that; it asks the leaf for as long as one that has
-// seen the change may. Cause: the time at which this process learned of it was taken for the time of the change.
+// Guards against requests to a leaf 3.3 s after the store knew that it leaves. A process that starts after the drain
+// began must not take the time at which it read the entry for the start of the drain.
 BOOST_AUTO_TEST_CASE(a_leaf_that_drains_when_first_seen_may_have_drained_for_long)
 {
     leaf_directory directory(millis(2200));
@@ -57,10 +55,9 @@
     BOOST_TEST((directory.find("b")->drainSeenAt == millis(51000)));
 }
 
-// Symptom: a VM that was cut off asks a leaf 3.3 s after the store knew that it leaves.
-// Sequence: it can reach the store again 1.5 s after the leaf began to drain, reads that, and asks for two seconds
-// more. Cause: the end of the gap was taken for the time of the change.
-BOOST_AUTO_TEST_CASE(what_is_learnt_after_a_gap_may_be_as_old_as_the_gap)
+// Guards against a VM that asks a leaf 3.3 s after the store knew that it leaves. The VM reaches the store again 1.5 s
+// after the drain began, and asks for two seconds more. The end of the gap must not count as the time of the change.
+BOOST_AUTO_TEST_CASE(a_change_received_after_a_gap_may_be_as_old_as_the_gap)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -71,11 +68,9 @@
     BOOST_TEST((directory.find("a")->drainSeenAt == millis(2000)));
 }
 
-// Symptom: a leaf gets requests 3.2 s after the store knew that it leaves.
-// Sequence: its entry is removed, since it leaves; a heartbeat that it had sent before arrives and writes the entry
-// again. Cause: the entry's return was taken for the leaf's. A leaf that has returned keeps its entry; this one's
-// lapses again.
-BOOST_AUTO_TEST_CASE(an_entry_that_a_late_heartbeat_wrote_again_is_doubtful)
+// Guards against requests to a leaf 3.2 s after the store knew that it leaves. Its entry is removed, and a heartbeat
+// that was sent before writes it again. A leaf that has really returned keeps its entry; this one expires again.
+BOOST_AUTO_TEST_CASE(an_entry_that_a_late_heartbeat_wrote_again_is_unconfirmed)
 {
     leaf_directory directory(millis(2200));
     directory.setHeartbeat(millis(1200));
@@ -88,17 +83,17 @@
     BOOST_TEST((known->drainSeenAt == millis(20000)));
     directory.expire(millis(23000));
     BOOST_TEST(known->isLeaving());
-    // A second write may come two seconds after the removal, and lapses three intervals after that.
+    // A second write may come two seconds after the removal, and expires three intervals after that.
     directory.expire(millis(26700));
     BOOST_TEST(known->isLeaving());
-    // Nothing removed it again: it is back.
+    // The entry was not removed again: the return is confirmed.
     directory.expire(millis(26900));
     BOOST_TEST(!known->isLeaving());
     BOOST_TEST((known->drainSeenAt == millis::never()));
 }
 
-// As above, of a leaf that left before anything was known of it here.
-BOOST_AUTO_TEST_CASE(an_entry_that_was_removed_before_it_was_seen_is_doubtful)
+// The same for a leaf that was removed before this process had seen its entry.
+BOOST_AUTO_TEST_CASE(an_entry_that_was_removed_before_it_was_seen_is_unconfirmed)
 {
     leaf_directory directory(millis(2200));
     directory.setHeartbeat(millis(1200));
@@ -113,8 +108,8 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against a leaf that was forgotten by the time a late write of it comes, and is asked as a new one.
-BOOST_AUTO_TEST_CASE(a_leaf_that_is_written_long_after_its_end_is_doubtful)
+// Guards against a removed leaf that is treated as a new one when a late write of its entry arrives.
+BOOST_AUTO_TEST_CASE(an_entry_that_is_written_long_after_its_removal_is_unconfirmed)
 {
     leaf_directory directory(millis(2200));
     directory.setHeartbeat(millis(1200));
@@ -131,8 +126,8 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against a leaf that drained, ended, and is asked again for a late write that says ready.
-BOOST_AUTO_TEST_CASE(a_leaf_that_drained_and_ended_does_not_come_back_under_its_birth)
+// Guards against a drained and stopped leaf that is asked again because a late write of its entry says ready.
+BOOST_AUTO_TEST_CASE(a_drained_leaf_returns_only_as_a_new_incarnation)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -154,8 +149,8 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against a leaf that left while this VM heard nothing, and is taken for one that leaves just now.
-BOOST_AUTO_TEST_CASE(a_removal_learnt_after_a_silence_is_as_old_as_the_silence)
+// Guards against a leaf that left while this VM received no updates, and that counts as leaving only since now.
+BOOST_AUTO_TEST_CASE(a_removal_received_after_a_gap_may_be_as_old_as_the_gap)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -166,7 +161,7 @@
     BOOST_TEST(directory.expire(millis(22300)) == 1U);
     directory.put(entry, millis(24000));
     BOOST_TEST(directory.find("a")->isLeaving());
-    // A silence of more than its time to be remembered.
+    // A gap that is longer than the retention of removed leafs.
     directory.noteCurrent(millis(30000));
     directory.remove("a", millis(130000));
     BOOST_TEST(directory.expire(millis(130000)) == 1U);
@@ -174,8 +169,8 @@
     BOOST_TEST(directory.find("a")->isLeaving());
 }
 
-// Guards against a leaf that is believed to have outlived its entry's lapse while the store was silent.
-BOOST_AUTO_TEST_CASE(a_doubt_ends_only_by_what_the_store_has_told)
+// Guards against a return that is confirmed by passing time while the store is unresponsive.
+BOOST_AUTO_TEST_CASE(a_return_is_confirmed_only_by_updates_of_the_store)
 {
     leaf_directory directory(millis(2200));
     directory.setHeartbeat(millis(1200));
@@ -195,8 +190,8 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against memory that grows with each leaf that ever ended.
-BOOST_AUTO_TEST_CASE(of_many_departed_leafs_the_latest_are_kept)
+// Guards against memory that grows with every leaf that was ever removed.
+BOOST_AUTO_TEST_CASE(of_many_removed_leafs_the_latest_are_kept)
 {
     constexpr int leafs = 5000;
     leaf_directory directory(millis(2200));
@@ -213,7 +208,7 @@
     BOOST_TEST(directory.find(entry.id)->isLeaving());
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_that_lapsed_while_the_store_was_away_is_back_at_once)
+BOOST_AUTO_TEST_CASE(an_entry_that_expired_in_a_store_outage_returns_without_confirmation)
 {
     leaf_directory directory(millis(2200));
     directory.setHeartbeat(millis(1200));
@@ -225,10 +220,10 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against trouble of the store that excuses a leaf which left before it, or after it was over.
-BOOST_AUTO_TEST_CASE(the_stores_trouble_excuses_only_what_lapses_for_it)
+// Guards against a store outage that confirms the return of a leaf which left before the outage, or after it was over.
+BOOST_AUTO_TEST_CASE(a_store_outage_explains_only_entries_that_expire_because_of_it)
 {
-    const auto isDoubted = [](millis removedAt) {
+    const auto isUnconfirmed = [](millis removedAt) {
         leaf_directory directory(millis(2200));
         leaf_entry entry = entryOf("a");
         directory.put(entry, millis(1000));
@@ -245,14 +240,14 @@
         directory.put(entry, std::max(removedAt, millis(22000)) + millis(300));
         return directory.find("a")->isLeaving();
     };
-    BOOST_TEST(isDoubted(millis(19900)));
-    BOOST_TEST(!isDoubted(millis(20100)));
-    BOOST_TEST(!isDoubted(millis(24400)));
-    BOOST_TEST(isDoubted(millis(25600)));
+    BOOST_TEST(isUnconfirmed(millis(19900)));
+    BOOST_TEST(!isUnconfirmed(millis(20100)));
+    BOOST_TEST(!isUnconfirmed(millis(24400)));
+    BOOST_TEST(isUnconfirmed(millis(25600)));
 }
 
-// Guards against all leafs doubted at once where the store is away a second time before they are back.
-BOOST_AUTO_TEST_CASE(a_second_trouble_of_the_store_does_not_take_back_what_the_first_excuses)
+// Guards against all leafs being unconfirmed at once if the store fails a second time before they are back.
+BOOST_AUTO_TEST_CASE(a_second_store_outage_does_not_make_leafs_of_the_first_unconfirmed)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -264,8 +259,8 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-// Guards against a leaf that is asked for as long as it lives, after its own word that it leaves.
-BOOST_AUTO_TEST_CASE(a_return_after_the_stores_trouble_does_not_take_back_a_leafs_word)
+// Guards against a leaf that is asked for the rest of its life after its entry said that it drains.
+BOOST_AUTO_TEST_CASE(a_return_after_a_store_outage_does_not_cancel_a_drain)
 {
     for (const bool knownBefore : {true, false}) {
         leaf_directory directory(millis(2200));
@@ -283,8 +278,8 @@
     }
 }
 
-// Guards against a leaf whose time to be asked begins anew with each word of it.
-BOOST_AUTO_TEST_CASE(a_leaf_drains_from_its_first_word_on)
+// Guards against a drain time that starts again with each update of the entry.
+BOOST_AUTO_TEST_CASE(a_leaf_drains_since_its_first_draining_entry)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -299,10 +294,10 @@
     BOOST_TEST((directory.find("a")->drainSeenAt == millis(2000)));
 }
 
-// Symptom: a leaf that has started again gets nothing for seconds, or is asked as a last resort only.
-// Sequence: it drains, ends, and starts again under its id; its entry says ready, with a later start and a lower count.
-// Cause: what was believed of its earlier life, above all that it leaves, was held against the new one.
-BOOST_AUTO_TEST_CASE(a_leaf_that_starts_again_under_its_id_is_another_leaf)
+// Guards against a restarted leaf that gets no requests for seconds, or only as a last resort. It drains, stops, and
+// starts again under its id with a later start and a lower sequence. The state of its earlier incarnation, above all
+// the drain, must not apply to the new one.
+BOOST_AUTO_TEST_CASE(a_leaf_that_restarts_under_its_id_is_a_new_incarnation)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -330,9 +325,8 @@
     BOOST_TEST(directory.find(digestOf("a")) == later);
 }
 
-// Symptom: a leaf that drains is asked as if it stayed, or one that has started again is taken for its earlier life.
-// Sequence: a heartbeat that was long on its way is written over a newer entry.
-// Cause: the entry written last was believed, whatever its start and count say.
+// Guards against a draining leaf that is asked as if it stayed, or a restarted leaf taken for its earlier incarnation.
+// A delayed heartbeat overwrites a newer entry; the start and the sequence, not the write order, decide which is newer.
 BOOST_AUTO_TEST_CASE(a_late_heartbeat_changes_nothing)
 {
     leaf_directory directory(millis(2200));
@@ -346,18 +340,18 @@
     overtaken.draining = false;
     BOOST_TEST(!directory.put(overtaken, millis(1100)));
     BOOST_TEST(directory.find("a")->isLeaving());
-    leaf_entry earlierLife = entry;
-    earlierLife.bornAt = millis(1e12 - 60000);
-    earlierLife.sequence = 900;
-    earlierLife.draining = false;
-    BOOST_TEST(!directory.put(earlierLife, millis(1200)));
+    leaf_entry earlierIncarnation = entry;
+    earlierIncarnation.bornAt = millis(1e12 - 60000);
+    earlierIncarnation.sequence = 900;
+    earlierIncarnation.draining = false;
+    BOOST_TEST(!directory.put(earlierIncarnation, millis(1200)));
     BOOST_TEST(directory.find("a")->isLeaving());
 }
 
-// Symptom: requests go to whatever another writer has put into a leaf's entry, or a leaf is gone for good after it.
-// Sequence: bytes that can't be read are written under a leaf's key; the leaf writes its entry again.
-// Cause: the old entry was used on, or the leaf taken for removed and doubted when it came back.
-BOOST_AUTO_TEST_CASE(a_spoilt_entry_names_no_leaf_until_it_is_written_again)
+// Guards against requests to an address that another writer put into a leaf's entry, and against a leaf that stays out
+// of use after it. Unreadable bytes replace the entry; the old entry must not be used on, nor the leaf count as
+// removed.
+BOOST_AUTO_TEST_CASE(an_unreadable_entry_disables_its_leaf_until_it_is_written_again)
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
@@ -370,7 +364,7 @@
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
 
-BOOST_AUTO_TEST_CASE(a_quantile_is_followed_without_keeping_values)
+BOOST_AUTO_TEST_CASE(a_quantile_is_estimated_without_storing_values)
 {
     quantile_tracker median(0.5, millis(100));
     quantile_tracker slow(0.9, millis(1));
@@ -386,7 +380,7 @@
     BOOST_TEST(slow.estimate().count() < 32);
 }
 
-BOOST_AUTO_TEST_CASE(the_budget_slides_with_its_window)
+BOOST_AUTO_TEST_CASE(the_retry_budget_uses_a_sliding_window)
 {
     retry_budget budget(0.2, millis(10000));
     for (int at = 0; at < 100; ++at) {
@@ -401,10 +395,9 @@
     BOOST_TEST(!budget.tryTake(0, 0, millis(30000)));
 }
 
-// Symptom: a leaf that serves one long request is passed over as if it stood still.
-// Sequence: one request takes long, others are answered meanwhile.
-// Cause: only the oldest open request was looked at.
-BOOST_AUTO_TEST_CASE(an_answer_to_another_request_shows_that_a_leaf_is_at_work)
+// Guards against a leaf that is treated as stalled because of one long request, although it answers others meanwhile.
+// Not only the oldest open request must be considered.
+BOOST_AUTO_TEST_CASE(an_answer_to_another_request_shows_that_a_leaf_is_not_stalled)
 {
     leaf one({});
     one.open = {{1, millis(0), millis(30)}};
@@ -413,26 +406,24 @@
     BOOST_TEST((one.stalledSince() == millis::never()));
 }
 
-/**
- * Symptom: a leaf that has just started, and bears few requests a second until it is warm, ends again and again.
- * Sequence: all VMs turn to it at once. Cause: none of them knows how much the others ask of it.
- */
-BOOST_AUTO_TEST_CASE(all_vms_together_ask_a_cold_leaf_within_what_it_bears)
+// Guards against a cold leaf, which sustains few requests a second, that crashes again after each restart. All VMs send
+// to it at once, and none of them knows how many requests the others send.
+BOOST_AUTO_TEST_CASE(all_vms_together_keep_to_the_rate_that_a_cold_leaf_sustains)
 {
     constexpr double overage = 1.5;
     constexpr double slack = 5;
     constexpr millis step(10);
     constexpr std::size_t stepsOfSecond = 100;
-    for (const double bears : {0.5, 2.0, 10.0, 50.0, 400.0}) {
+    for (const double sustained : {0.5, 2.0, 10.0, 50.0, 400.0}) {
         for (const std::size_t vms : {1U, 8U, 78U, 300U}) {
-            std::vector<double> sent; // in each step, by VMs that ask as often as they may
-            std::vector<std::optional<cold_turn>> used(vms);
+            std::vector<double> sent; // requests in each step, by VMs that use every slot
+            std::vector<std::optional<cold_admission_slot>> used(vms);
             for (millis now(1000000); sent.size() < 60 * stepsOfSecond; now = now + step) {
                 double count = 0;
                 for (std::size_t vm = 0; vm < vms; ++vm) {
-                    const auto turn = coldTurnOf(7, {vms, vm + 1}, bears, now);
-                    count += turn && turn != used[vm] ? 1 : 0;
-                    used[vm] = turn ? turn : used[vm];
+                    const auto slot = coldTurnOf(7, {vms, vm + 1}, sustained, now);
+                    count += slot && slot != used[vm] ? 1 : 0;
+                    used[vm] = slot ? slot : used[vm];
                 }
                 sent.push_back(count);
             }
@@ -443,16 +434,16 @@
                 most = std::max(most, std::accumulate(first, first + stepsOfSecond, 0.0));
             }
             all = std::accumulate(sent.begin(), sent.end(), 0.0);
-            BOOST_TEST_CONTEXT(vms << " VMs, " << bears << " a second")
+            BOOST_TEST_CONTEXT(vms << " VMs, " << sustained << " a second")
             {
-                BOOST_CHECK_LE(most, bears * overage + slack);
+                BOOST_CHECK_LE(most, sustained * overage + slack);
                 BOOST_CHECK_GT(all, 0.0);
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_leaf_that_runs_may_turn_cold_again)
+BOOST_AUTO_TEST_CASE(a_running_leaf_may_turn_cold_again)
 {
     leaf_directory leafs(millis(1000));
     leaf_entry entry;
@@ -464,7 +455,7 @@
     entry.sequence = 2;
     leafs.put(entry, millis(5000));
     BOOST_CHECK(leafs.find("l")->coldUntil == millis(8000));
-    entry.coldFor = millis(1e300); // of no leaf: it would be spared for ever
+    entry.coldFor = millis(1e300); // no real leaf: it would count as cold forever
     entry.sequence = 3;
     leafs.put(entry, millis(6000));
     BOOST_CHECK(leafs.find("l")->coldUntil <= millis(6000 + 60000));
