--- a/libs/zones/tests/test_drained_zones.cpp
+++ b/libs/zones/tests/test_drained_zones.cpp
@@ -1,4 +1,4 @@
-#define BOOST_TEST_MODULE drained_zones
+#define BOOST_TEST_MODULE zones
 #include <boost/test/included/unit_test.hpp>
 
 #include <zones/zones.h>
