--- a/libs/routing/include/routing/routing.h
+++ b/libs/routing/include/routing/routing.h
@@ -2,7 +2,8 @@
 
 /**
  * @file
- * What operators publish: routes, services and limits of one version, and the lookup of a request's route. Pure.
+ * The gateway configuration that operators publish (routes, services and limits), and the lookup of the route that
+ * applies to a request. Performs no I/O.
  */
 
 #include <base/base.h>
@@ -15,49 +16,50 @@
 
 namespace chivelock {
 
-/** One of the services over which a route's requests are spread. */
+/** One of the services among which a route distributes its requests. */
 struct service_share {
     service_name service;
-    double weight = 1; ///< relative to the other shares of the route
+    double weight = 1; ///< relative to the other services of the route
 };
 
-/** How requests of one host and path prefix are handled. */
+/** How requests with one host and path prefix are handled. */
 struct gateway_route {
     std::string name;
     std::string host; ///< lower case, without port
     std::string pathPrefix; ///< begins and ends with a slash
-    bool idempotent = false; ///< whether a request may run more than once
-    millis timeout; ///< longest time that a caller is kept waiting
-    millis objective; ///< an answer within this time is worth most
-    unsigned rank = 0; ///< 0 is the most urgent
-    unsigned maxAttempts = 1; ///< leafs that may run one request; counts for each shard
-    std::vector<service_share> split; ///< for requests to one leaf; empty for shards
-    std::vector<service_name> shards; ///< for requests to all shards; empty for one leaf
-    std::size_t topRecords = 0; ///< records in a merged answer
-    double minCoverage = 1; ///< least share of the shards in a merged answer
-
+    bool idempotent = false; ///< a request may run more than once
+    millis timeout; ///< longest time from the arrival of a request to its answer
+    millis objective; ///< target latency: an answer within this time has its full value
+    unsigned rank = 0; ///< priority; 0 is the most urgent
+    unsigned maxAttempts = 1; ///< most leafs that may run one request; applies to each shard separately
+    std::vector<service_share> split; ///< of a route to a single leaf; empty if the route has shards
+    std::vector<service_name> shards; ///< of a scatter-gather route, which asks each of them; else empty
+    std::size_t topRecords = 0; ///< most records in a merged answer
+    double minCoverage = 1; ///< smallest fraction of the shards that a merged answer must contain
+
+    /** @return whether a request goes to all shards and their parts are merged. */
     [[nodiscard]] bool isGather() const
     {
         return !shards.empty();
     }
 };
 
-/** What is said of a service apart from its leafs. */
+/** Limits that hold for each leaf of a service. */
 struct service_description {
     service_name name;
-    unsigned maxConnections = 1; ///< that one of its leafs accepts from the whole fleet
-    double coldPerSecond = 0; ///< requests that one of its cold leafs bears from the whole fleet; 0 for any number
+    unsigned maxConnections = 1; ///< connections that one leaf accepts from all VMs together
+    double coldPerSecond = 0; ///< requests per second that one leaf with a cold cache gets from all VMs; 0: no limit
 };
 
-/** Bounds on what a caller may send and how long it may take. */
+/** Limits on the size of a caller's request and on the time that the caller may take to send it. */
 struct caller_limits {
-    std::size_t headBytes = 16384;
+    std::size_t headBytes = 16384; ///< request line and headers
     std::size_t bodyBytes = 1048576;
-    millis headTimeout {5000};
-    millis idleTimeout {30000};
+    millis headTimeout {5000}; ///< for receiving a request, from its first byte
+    millis idleTimeout {30000}; ///< for a connection without a request
 };
 
-/** One published configuration, whole. */
+/** One complete published configuration. */
 struct gateway_config {
     std::uint64_t version = 0;
     std::vector<gateway_route> routes;
@@ -65,13 +67,14 @@
     caller_limits limits;
 };
 
-/** Finds the route of a request: exact host, then the longest prefix. */
+/** Finds the route of a request: the one with exactly its host and the longest matching path prefix. */
 class route_table
 {
 public:
     explicit route_table(gateway_config config);
 
-    /** @param host as sent, a port is ignored. @param target path with query. @return nullptr if no route matches. */
+    /** @param host as in the request; case and port are ignored. @param target path with query.
+     *  @return nullptr if no route matches. */
     [[nodiscard]] const gateway_route *find(std::string_view host, std::string_view target) const;
 
     [[nodiscard]] const gateway_config &config() const
@@ -79,7 +82,7 @@
         return m_config;
     }
 
-    /** @return 1 for a service that the configuration does not name. */
+    /** @return as @ref service_description::maxConnections; 1 for a service that the configuration does not name. */
     [[nodiscard]] unsigned maxConnections(const service_name &service) const;
 
     /** @return as @ref service_description::coldPerSecond; 0 for a service that the configuration does not name. */
@@ -87,9 +90,9 @@
 
 private:
     gateway_config m_config;
-    std::unordered_map<std::string, std::unordered_map<std::string_view, const gateway_route *>> m_byHost;
+    std::unordered_map<std::string, std::unordered_map<std::string_view, const gateway_route *>> m_routesByHost;
     std::unordered_map<service_name, unsigned> m_maxConnections;
-    std::unordered_map<service_name, double> m_coldPerSecond; ///< of services that bound it
+    std::unordered_map<service_name, double> m_maxColdRequestsPerSecond; ///< of services that limit it
 };
 
 } // namespace chivelock
--- a/libs/routing/src/route_table.cpp
+++ b/libs/routing/src/route_table.cpp
@@ -20,23 +20,23 @@
     : m_config(std::move(config))
 {
     for (const gateway_route &route : m_config.routes) {
-        m_byHost[route.host].emplace(route.pathPrefix, &route);
+        m_routesByHost[route.host].emplace(route.pathPrefix, &route);
     }
     for (const service_description &service : m_config.services) {
         m_maxConnections.emplace(service.name, service.maxConnections);
         if (service.coldPerSecond > 0) {
-            m_coldPerSecond.emplace(service.name, service.coldPerSecond);
+            m_maxColdRequestsPerSecond.emplace(service.name, service.coldPerSecond);
         }
     }
 }
 
 const gateway_route *route_table::find(std::string_view host, std::string_view target) const
 {
-    const auto routes = m_byHost.find(hostWithoutPort(host));
-    if (routes == m_byHost.end()) {
+    const auto routes = m_routesByHost.find(hostWithoutPort(host));
+    if (routes == m_routesByHost.end()) {
         return nullptr;
     }
-    // Prefixes end with a slash, so only the path's own slashes can end one: the longest first.
+    // Each prefix ends with a slash, so only the parts of the path up to one of its slashes can match: longest first.
     std::string_view prefix = target.substr(0, target.find_first_of("?#"));
     while (!prefix.empty()) {
         const std::size_t slash = prefix.rfind('/');
@@ -54,8 +54,8 @@
 
 double route_table::coldPerSecond(const service_name &service) const
 {
-    const auto found = m_coldPerSecond.find(service);
-    return found == m_coldPerSecond.end() ? 0 : found->second;
+    const auto found = m_maxColdRequestsPerSecond.find(service);
+    return found == m_maxColdRequestsPerSecond.end() ? 0 : found->second;
 }
 
 unsigned route_table::maxConnections(const service_name &service) const
--- a/libs/routing/tests/test_routing.cpp
+++ b/libs/routing/tests/test_routing.cpp
@@ -5,7 +5,7 @@
 
 using namespace chivelock;
 
-BOOST_AUTO_TEST_CASE(longest_prefix_of_the_host_decides)
+BOOST_AUTO_TEST_CASE(find_returns_longest_prefix_of_exact_host)
 {
     gateway_config config;
     config.routes.resize(2);
