--- a/libs/delegation/include/delegation/delegation.h
+++ b/libs/delegation/include/delegation/delegation.h
@@ -2,7 +2,8 @@
 
 /**
  * @file
- * What VMs tell each other when one asks leafs for another, and the codec (FlatBuffers) that carries it.
+ * Messages between a VM and the helper to which it delegates work, which is to ask leafs on its behalf, and the
+ * FlatBuffers codec of these messages.
  */
 
 #include <gateway/gateway.h>
@@ -16,41 +17,41 @@
 
 namespace chivelock {
 
-/** Ask one leaf of each of these shards for me. */
+/** Request to a helper: send the caller's request to one leaf of each shard of @ref work. */
 struct delegate_request {
-    delegation_id id = 0; ///< chosen by the sender
-    std::string requestId; ///< of the caller
-    std::string beforeTime; ///< the request for the leafs, up to where the remaining time belongs
-    std::string afterTime; ///< the rest of it
-    bool toHead = false; ///< answers have no body
+    delegation_id id = 0; ///< chosen by the sender; its later messages and the helper's replies repeat it
+    std::string requestId; ///< as named by the caller
+    std::string beforeTime; ///< request text for the leafs, up to the place of the remaining time
+    std::string afterTime; ///< request text that follows the remaining time
+    bool toHead = false; ///< the request is a HEAD request, so its answers have no body
     delegated_work work;
 };
 
-/** What has come of it since the last message. */
+/** Report of the helper: the results since its previous report. */
 struct delegate_progress {
     delegation_id id = 0;
     delegated_progress progress;
 };
 
-/** Its outcome is not needed any more. */
+/** Notice to the helper that the outcome of the request is no longer needed. */
 struct delegate_cancel {
     delegation_id id = 0;
-    bool callerLeft = false; ///< leafs that are still at work should stop
-    bool survived = false; ///< a leaf ran the request to its end
+    bool callerLeft = false; ///< the caller disconnected, so leafs that still run the request should stop
+    bool survived = false; ///< a leaf completed the request without crashing
 };
 
 using delegation_message = std::variant<delegate_request, delegate_progress, delegate_cancel>;
 
-/** Why bytes are not a message. */
+/** Why a payload could not be decoded. */
 enum class delegation_wire_error : std::uint8_t {
-    Malformed, ///< the FlatBuffers verifier refused it
-    UnknownMessage
+    Malformed, ///< empty, or rejected by the FlatBuffers verifier
+    UnknownMessage ///< the envelope has no message or one of an unknown type
 };
 
-/** @return a whole frame: length in four bytes, little-endian, then the message. */
+/** @return a complete frame: the length in four bytes, little-endian, then the message. */
 [[nodiscard]] std::string encodeDelegationFrame(const delegation_message &message);
 
-/** @param payload one frame without its length. */
+/** @param payload one frame without its length prefix. */
 [[nodiscard]] tl::expected<delegation_message, delegation_wire_error>
 decodeDelegationPayload(std::span<const std::uint8_t> payload);
 
--- a/libs/delegation/src/delegation_codec.cpp
+++ b/libs/delegation/src/delegation_codec.cpp
@@ -13,7 +13,7 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-struct message_writer {
+struct table_writer {
     FlatBufferBuilder &builder;
 
     Offset<delegation_wire::Envelope> operator()(const delegate_request &message) const
@@ -45,7 +45,7 @@
                                                           message.work.key.caller,
                                                           message.work.key.content,
                                                           message.work.attempt);
-        return wrap(delegation_wire::Message::Request, table.Union());
+        return wrapInEnvelope(delegation_wire::Message::Request, table.Union());
     }
 
     Offset<delegation_wire::Envelope> operator()(const delegate_progress &message) const
@@ -73,23 +73,25 @@
         const auto allPending = builder.CreateVector(pending);
         const auto table = delegation_wire::CreateProgress(
             builder, message.id, allParts, records, allLost, allPending, message.progress.last);
-        return wrap(delegation_wire::Message::Progress, table.Union());
+        return wrapInEnvelope(delegation_wire::Message::Progress, table.Union());
     }
 
     Offset<delegation_wire::Envelope> operator()(const delegate_cancel &message) const
     {
-        return wrap(delegation_wire::Message::Cancel,
-                    delegation_wire::CreateCancel(builder, message.id, message.callerLeft, message.survived).Union());
+        return wrapInEnvelope(
+            delegation_wire::Message::Cancel,
+            delegation_wire::CreateCancel(builder, message.id, message.callerLeft, message.survived).Union());
     }
 
 private:
-    [[nodiscard]] Offset<delegation_wire::Envelope> wrap(delegation_wire::Message type, Offset<void> message) const
+    [[nodiscard]] Offset<delegation_wire::Envelope> wrapInEnvelope(delegation_wire::Message type,
+                                                                   Offset<void> message) const
     {
         return delegation_wire::CreateEnvelope(builder, type, message);
     }
 };
 
-std::string textOf(const flatbuffers::String *text)
+std::string textOrEmpty(const flatbuffers::String *text)
 {
     return text == nullptr ? std::string() : text->str();
 }
@@ -98,11 +100,11 @@
 {
     delegate_request message;
     message.id = from.id();
-    message.requestId = textOf(from.request_id());
-    message.beforeTime = textOf(from.before_time());
-    message.afterTime = textOf(from.after_time());
+    message.requestId = textOrEmpty(from.request_id());
+    message.beforeTime = textOrEmpty(from.before_time());
+    message.afterTime = textOrEmpty(from.after_time());
     message.toHead = from.to_head();
-    message.work.route = textOf(from.route());
+    message.work.route = textOrEmpty(from.route());
     message.work.topRecords = from.top_records();
     message.work.objective = millis::fromMicros(from.objective_micros());
     message.work.speakIn = millis::fromMicros(from.speak_micros());
@@ -110,14 +112,14 @@
     message.work.limitIn = millis::fromMicros(from.limit_micros());
     if (from.shards() != nullptr) {
         for (const auto *shard : *from.shards()) {
-            message.work.shards.push_back({textOf(shard)});
+            message.work.shards.push_back({textOrEmpty(shard)});
         }
     }
     message.work.alone = from.alone();
     message.work.key = {from.key_caller(), from.key_content()};
     message.work.attempt = from.attempt();
     if (from.tried() != nullptr) {
-        std::ranges::transform(*from.tried(), std::back_inserter(message.work.triedLeafs), textOf);
+        std::ranges::transform(*from.tried(), std::back_inserter(message.work.triedLeafs), textOrEmpty);
     }
     return message;
 }
@@ -129,7 +131,7 @@
     message.progress.last = from.last();
     if (from.parts() != nullptr) {
         for (const auto *part : *from.parts()) {
-            message.progress.parts.push_back({part->shard(), textOf(part->digest())});
+            message.progress.parts.push_back({part->shard(), textOrEmpty(part->digest())});
         }
     }
     if (from.records() != nullptr) {
@@ -137,13 +139,16 @@
     }
     if (from.lost() != nullptr) {
         for (const auto *lost : *from.lost()) {
-            message.progress.lost.push_back(
-                {lost->shard(), lost->may_have_run(), lost->reached_leaf(), lost->leaf_ended(), textOf(lost->leaf())});
+            message.progress.lost.push_back({lost->shard(),
+                                             lost->may_have_run(),
+                                             lost->reached_leaf(),
+                                             lost->leaf_ended(),
+                                             textOrEmpty(lost->leaf())});
         }
     }
     if (from.pending() != nullptr) {
         for (const auto *pending : *from.pending()) {
-            message.progress.pending.push_back({pending->shard(), textOf(pending->leaf())});
+            message.progress.pending.push_back({pending->shard(), textOrEmpty(pending->leaf())});
         }
     }
     return message;
@@ -154,19 +159,19 @@
 std::string encodeDelegationFrame(const delegation_message &message)
 {
     FlatBufferBuilder builder;
-    builder.Finish(std::visit(message_writer {builder}, message));
+    builder.Finish(std::visit(table_writer {builder}, message));
     return frameOf({builder.GetBufferPointer(), builder.GetSize()});
 }
 
-tl::expected<delegation_message, delegation_wire_error> decodeDelegationPayload(std::span<const std::uint8_t> bytes)
+tl::expected<delegation_message, delegation_wire_error> decodeDelegationPayload(std::span<const std::uint8_t> payload)
 {
-    const std::vector<std::uint64_t> aligned = alignedCopy(bytes);
-    const auto *payload = reinterpret_cast<const std::uint8_t *>(aligned.data());
-    flatbuffers::Verifier verifier(payload, bytes.size());
-    if (bytes.empty() || !delegation_wire::VerifyEnvelopeBuffer(verifier)) {
+    const std::vector<std::uint64_t> aligned = alignedCopy(payload);
+    const auto *data = reinterpret_cast<const std::uint8_t *>(aligned.data());
+    flatbuffers::Verifier verifier(data, payload.size());
+    if (payload.empty() || !delegation_wire::VerifyEnvelopeBuffer(verifier)) {
         return tl::unexpected(delegation_wire_error::Malformed);
     }
-    const delegation_wire::Envelope &envelope = *delegation_wire::GetEnvelope(payload);
+    const delegation_wire::Envelope &envelope = *delegation_wire::GetEnvelope(data);
     switch (envelope.message_type()) {
     case delegation_wire::Message::Request:
         return readRequest(*envelope.message_as_Request());
--- a/libs/delegation/tests/test_delegation.cpp
+++ b/libs/delegation/tests/test_delegation.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 template<typename message_type>
-message_type thereAndBack(const message_type &message)
+message_type encodeAndDecode(const message_type &message)
 {
-    constexpr std::ptrdiff_t prefix = 4;
+    constexpr std::ptrdiff_t lengthBytes = 4;
     const std::string frame = encodeDelegationFrame(message);
-    const std::vector<std::uint8_t> payload(frame.begin() + prefix, frame.end());
+    const std::vector<std::uint8_t> payload(frame.begin() + lengthBytes, frame.end());
     return std::get<message_type>(decodeDelegationPayload(payload).value());
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_request_comes_back_whole)
+BOOST_AUTO_TEST_CASE(request_survives_encoding_and_decoding)
 {
     delegate_request request;
     request.id = 7;
@@ -33,7 +33,7 @@
     request.work.alone = true;
     request.work.key = {8, 9};
     request.work.attempt = 10;
-    const delegate_request read = thereAndBack(request);
+    const delegate_request read = encodeAndDecode(request);
     BOOST_TEST(read.afterTime == request.afterTime);
     BOOST_TEST(read.work.shards[1].value == "b");
     BOOST_TEST((read.work.cutoffIn == millis(80.5)));
@@ -44,7 +44,7 @@
     BOOST_TEST(read.work.attempt == request.work.attempt);
 }
 
-BOOST_AUTO_TEST_CASE(progress_and_cancel_come_back_whole)
+BOOST_AUTO_TEST_CASE(progress_and_cancel_survive_encoding_and_decoding)
 {
     delegate_progress progress;
     progress.id = 8;
@@ -53,7 +53,7 @@
     progress.progress.lost = {{2, true, false, true, "lost"}};
     progress.progress.pending = {{3, "leaf"}};
     progress.progress.last = true;
-    const delegate_progress read = thereAndBack(progress);
+    const delegate_progress read = encodeAndDecode(progress);
     BOOST_TEST(read.progress.parts[0].stamp == "digest");
     BOOST_TEST(read.progress.lost[0].leafId == "lost");
     BOOST_TEST(read.progress.records == progress.progress.records);
@@ -62,11 +62,11 @@
     BOOST_TEST(read.progress.lost[0].leafEnded);
     BOOST_TEST(read.progress.pending[0].leafId == "leaf");
     BOOST_TEST(read.progress.last);
-    BOOST_TEST(thereAndBack(delegate_cancel {9, true, false}).callerLeft);
-    BOOST_TEST(thereAndBack(delegate_cancel {9, false, true}).survived);
+    BOOST_TEST(encodeAndDecode(delegate_cancel {9, true, false}).callerLeft);
+    BOOST_TEST(encodeAndDecode(delegate_cancel {9, false, true}).survived);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_message_are_refused)
+BOOST_AUTO_TEST_CASE(payload_that_is_not_a_message_is_rejected)
 {
     BOOST_TEST(!decodeDelegationPayload(std::vector<std::uint8_t>(40, 0x5A)).has_value());
 }
