--- a/libs/topology/include/topology/topology.h
+++ b/libs/topology/include/topology/topology.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * What the platform publishes of the fleet: which services have which shards on which leafs, and the list of VMs that
- * run this system. Pure readers; the published documents can be stale or lag.
+ * Documents that the platform publishes about the fleet: which leafs hold which shards of which service, and which VMs
+ * run this system. Parses their text and performs no I/O. A published document can lag behind the real state.
  */
 
 #include <base/base.h>
@@ -17,21 +17,21 @@
 
 namespace chivelock {
 
-/** One target. */
+/** One leaf. */
 struct leaf_info {
     leaf_id id;
-    std::string address; ///< IP number
+    std::string address; ///< IP address
     std::uint16_t port = 0;
     zone_name zone;
-    std::uint32_t slots = 1; ///< requests that it runs at once
-    std::uint32_t connections = 1; ///< connections that it takes from everyone
-    std::uint64_t incarnation = 0; ///< rises with each start
-    bool leaving = false;
+    std::uint32_t slots = 1; ///< requests that the leaf runs concurrently
+    std::uint32_t connections = 1; ///< connections that the leaf accepts from all VMs together
+    std::uint64_t incarnation = 0; ///< increases with each start of the leaf; 0 if not published
+    bool leaving = false; ///< gets no new requests
 
     bool operator==(const leaf_info &) const = default;
 };
 
-/** One shard of a service and the leafs that hold it. */
+/** One shard of a service and the leafs that hold a replica of it. */
 struct shard_info {
     shard_id id;
     std::vector<leaf_id> leafs;
@@ -49,29 +49,31 @@
     bool operator==(const service_map &) const = default;
 };
 
-/** One publication of all services. */
+/** One published version of the shard maps of all services. */
 struct topology_document {
     std::uint64_t revision = 0;
     std::vector<service_map> services; ///< sorted by name
     std::vector<leaf_info> leafs; ///< sorted by id
 
+    /** @return nullptr if the document does not contain the service. */
     [[nodiscard]] const service_map *findService(const service_name &name) const;
+    /** @return nullptr if the document does not contain the leaf. */
     [[nodiscard]] const leaf_info *findLeaf(leaf_id id) const;
 };
 
-/** One VM of this system, as listed. */
+/** One VM of this system, as published. */
 struct vm_info {
     vm_id id;
     zone_name zone;
-    std::string address; ///< IP number
-    std::uint16_t peerPort = 0;
-    std::uint16_t httpPort = 0;
-    bool leaving = false;
+    std::string address; ///< IP address
+    std::uint16_t peerPort = 0; ///< for other VMs
+    std::uint16_t httpPort = 0; ///< for callers
+    bool leaving = false; ///< gets no new work
 
     bool operator==(const vm_info &) const = default;
 };
 
-/** One publication of the VM list. */
+/** One published version of the VM list. */
 struct vm_list_document {
     std::uint64_t revision = 0;
     std::vector<vm_info> vms; ///< sorted by id
@@ -79,7 +81,10 @@
 
 using topology_ptr = std::shared_ptr<const topology_document>;
 
+/** Parses a topology and checks it: the schema, that ids are unique, and that each shard names only known leafs. */
 [[nodiscard]] tl::expected<topology_document, document_error> readTopology(std::string_view text);
+
+/** Parses a VM list and checks it against its schema. */
 [[nodiscard]] tl::expected<vm_list_document, document_error> readVmList(std::string_view text);
 
 } // namespace chivelock
--- a/libs/topology/src/topology.cpp
+++ b/libs/topology/src/topology.cpp
@@ -57,7 +57,7 @@
   }
 })";
 
-leaf_info leafFrom(const nlohmann::json &json)
+leaf_info parseLeaf(const nlohmann::json &json)
 {
     return {{json.at("id").get<std::uint32_t>()},
             json.at("address").get<std::string>(),
@@ -69,7 +69,7 @@
             json.value("leaving", false)};
 }
 
-shard_info shardFrom(const nlohmann::json &json)
+shard_info parseShard(const nlohmann::json &json)
 {
     shard_info shard {{json.at("shard").get<std::uint32_t>()}, {}};
     std::ranges::transform(json.at("leafs"), std::back_inserter(shard.leafs), [](const nlohmann::json &id) {
@@ -78,18 +78,18 @@
     return shard;
 }
 
-service_map serviceFrom(const nlohmann::json &json)
+service_map parseService(const nlohmann::json &json)
 {
     service_map service {{json.at("name").get<std::string>()},
                          {json.at("snapshot").get<std::uint32_t>()},
                          {json.at("map_version").get<std::uint32_t>()},
                          {}};
-    std::ranges::transform(json.at("shards"), std::back_inserter(service.shards), shardFrom);
+    std::ranges::transform(json.at("shards"), std::back_inserter(service.shards), parseShard);
     std::ranges::sort(service.shards, {}, &shard_info::id);
     return service;
 }
 
-vm_info vmFrom(const nlohmann::json &json)
+vm_info parseVm(const nlohmann::json &json)
 {
     return {{json.at("id").get<std::uint32_t>()},
             {json.at("zone").get<std::string>()},
@@ -99,25 +99,29 @@
             json.value("leaving", false)};
 }
 
-/** A shard that names an unknown leaf, or a number that stands twice, would make coverage untrue. */
-std::vector<document_problem> crossChecked(const topology_document &document)
+/**
+ * Checks the rules between fields that the schema cannot express. A shard that names an unknown leaf, or an id that
+ * occurs twice, would make the coverage that answers report wrong.
+ */
+std::vector<document_problem> findConsistencyProblems(const topology_document &document)
 {
     std::vector<document_problem> problems;
-    const auto twice = std::ranges::adjacent_find(document.leafs, {}, &leaf_info::id);
-    if (twice != document.leafs.end()) {
-        problems.push_back({"/leafs", std::to_string(twice->id.value), "each leaf id stands once"});
+    const auto duplicate = std::ranges::adjacent_find(document.leafs, {}, &leaf_info::id);
+    if (duplicate != document.leafs.end()) {
+        problems.push_back({"/leafs", std::to_string(duplicate->id.value), "must be unique among the leaf ids"});
     }
     for (const service_map &service : document.services) {
         const std::string path = "/services/" + service.name.value;
         if (std::ranges::adjacent_find(service.shards, {}, &shard_info::id) != service.shards.end()) {
-            problems.push_back({path + "/shards", "", "each shard stands once"});
+            problems.push_back({path + "/shards", "", "shard numbers must be unique within a service"});
         }
         for (const shard_info &shard : service.shards) {
-            const bool known =
+            const bool allKnown =
                 std::ranges::all_of(shard.leafs, [&document](leaf_id id) { return document.findLeaf(id) != nullptr; });
-            if (!known) {
-                problems.push_back(
-                    {path + "/shards", std::to_string(shard.id.value), "names a leaf that is not under /leafs"});
+            if (!allKnown) {
+                problems.push_back({path + "/shards",
+                                    std::to_string(shard.id.value),
+                                    "a shard must name only leafs listed under /leafs"});
             }
         }
     }
@@ -144,11 +148,11 @@
         .and_then([](const nlohmann::json &json) -> tl::expected<topology_document, document_error> {
             topology_document document;
             document.revision = json.at("revision").get<std::uint64_t>();
-            std::ranges::transform(json.at("leafs"), std::back_inserter(document.leafs), leafFrom);
-            std::ranges::transform(json.at("services"), std::back_inserter(document.services), serviceFrom);
+            std::ranges::transform(json.at("leafs"), std::back_inserter(document.leafs), parseLeaf);
+            std::ranges::transform(json.at("services"), std::back_inserter(document.services), parseService);
             std::ranges::sort(document.leafs, {}, &leaf_info::id);
             std::ranges::sort(document.services, {}, &service_map::name);
-            std::vector<document_problem> problems = crossChecked(document);
+            std::vector<document_problem> problems = findConsistencyProblems(document);
             if (!problems.empty()) {
                 return tl::unexpected(document_error {std::move(problems)});
             }
@@ -161,7 +165,7 @@
     return parseChecked(text, vmListSchema).map([](const nlohmann::json &json) {
         vm_list_document document;
         document.revision = json.at("revision").get<std::uint64_t>();
-        std::ranges::transform(json.at("vms"), std::back_inserter(document.vms), vmFrom);
+        std::ranges::transform(json.at("vms"), std::back_inserter(document.vms), parseVm);
         std::ranges::sort(document.vms, {}, &vm_info::id);
         return document;
     });
--- a/libs/topology/tests/test_topology.cpp
+++ b/libs/topology/tests/test_topology.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string fileText(const std::string &name)
+std::string exampleText(const std::string &name)
 {
     const std::ifstream file(std::string(CHIVELOCK_SOURCE_DIR) + "/examples/" + name);
     std::ostringstream text;
@@ -20,23 +20,23 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(both_deployments_have_the_sizes_of_the_brief)
+BOOST_AUTO_TEST_CASE(examples_of_both_deployments_have_expected_sizes)
 {
-    const auto north = readTopology(fileText("new-england/topology.json"));
-    const auto south = readTopology(fileText("southern-vietnam/topology.json"));
-    BOOST_REQUIRE(north.has_value());
-    BOOST_REQUIRE(south.has_value());
-    BOOST_TEST(north->findService({"line-assist"})->shards.size() == 20);
-    BOOST_TEST(north->findService({"schedule-board"})->shards.size() == 30);
-    BOOST_TEST(north->leafs.size() == 108);
-    BOOST_TEST(south->findService({"order-desk"})->shards.front().leafs.size() == 5);
-    BOOST_TEST(readVmList(fileText("new-england/vms.json"))->vms.size() == 8);
+    const auto newEngland = readTopology(exampleText("new-england/topology.json"));
+    const auto southernVietnam = readTopology(exampleText("southern-vietnam/topology.json"));
+    BOOST_REQUIRE(newEngland.has_value());
+    BOOST_REQUIRE(southernVietnam.has_value());
+    BOOST_TEST(newEngland->findService({"line-assist"})->shards.size() == 20);
+    BOOST_TEST(newEngland->findService({"schedule-board"})->shards.size() == 30);
+    BOOST_TEST(newEngland->leafs.size() == 108);
+    BOOST_TEST(southernVietnam->findService({"order-desk"})->shards.front().leafs.size() == 5);
+    BOOST_TEST(readVmList(exampleText("new-england/vms.json"))->vms.size() == 8);
 }
 
-// Symptom: an answer claims a shard as covered twice, or a shard has no leaf that exists.
-// Sequence: an operator publishes a map with a shard number twice, or naming an unknown leaf.
-// Cause: rules between fields that a schema can't say.
-BOOST_AUTO_TEST_CASE(map_that_would_make_coverage_untrue_is_refused)
+// Failure: an answer counts a shard as covered twice, or a shard has no leaf that exists. It occurs when an operator
+// publishes a map in which a shard number occurs twice or a shard names an unknown leaf, which the JSON schema cannot
+// rule out because these rules concern several fields.
+BOOST_AUTO_TEST_CASE(map_with_duplicate_shard_or_unknown_leaf_is_rejected)
 {
     const std::string leafs =
         R"("leafs":[{"id":1,"address":"127.0.0.1","port":1,"zone":"z","slots":1,"connections":1}])";
@@ -49,7 +49,7 @@
     BOOST_TEST(!readTopology(document(R"({"shard":0,"leafs":[2]})")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(vm_list_refuses_names_in_place_of_ip_numbers)
+BOOST_AUTO_TEST_CASE(vm_list_with_host_name_instead_of_ip_address_is_rejected)
 {
     BOOST_TEST(
         !readVmList(
