--- a/libs/membership/include/membership/membership.h
+++ b/libs/membership/include/membership/membership.h
@@ -2,9 +2,10 @@
 
 /**
  * @file
- * Which VMs of the system take part, and which of them runs a shard. Pure: heartbeats and the published list come in
- * with the time, heartbeats to send come out. Nothing here is agreed between VMs, and no promise to a caller rests on
- * it: two views that differ cost extra load, never a wrong answer.
+ * Failure detection among the VMs of the system by heartbeats and gossip, and the assignment of shards to them.
+ * Performs no I/O and reads no clock: received heartbeats, the published VM list and the time are passed in, and
+ * heartbeats to send are returned. VMs do not reach consensus on the members. No guarantee to callers depends on the
+ * members either: two VMs with different views cause extra load, never a wrong answer.
  */
 
 #include <base/base.h>
@@ -19,13 +20,13 @@
 
 namespace chivelock {
 
-/** How often and how long; the defaults suit 8 to some thousands of VMs. */
+/** Intervals and time limits of the failure detection. The defaults suit 8 to several thousand VMs. */
 struct membership_settings {
-    millis pingInterval {200}; ///< between heartbeats to one next member
-    millis ackTimeout {300}; ///< without an ack, a member becomes suspect
-    millis suspectFor {3000}; ///< a suspect that does not refute becomes gone
-    millis pauseGap {1000}; ///< a longer gap between ticks means that this process slept
-    std::uint32_t rumoursPerHeartbeat = 6;
+    millis pingInterval {200}; ///< between two pings; each goes to one member
+    millis ackTimeout {300}; ///< a member that has not acknowledged a ping for this long becomes suspect
+    millis suspicionTimeout {3000}; ///< a suspect that does not refute the suspicion within this time becomes gone
+    millis pauseThreshold {1000}; ///< a longer time between two ticks means that this process was paused
+    std::uint32_t maxRumoursPerHeartbeat = 6; ///< does not count the rumour about the receiver itself
 };
 
 /** A heartbeat to send. */
@@ -34,37 +35,42 @@
     heartbeat message;
 };
 
-/** What this process tells of itself in each heartbeat. */
+/** Document revisions of this process, which each of its heartbeats carries. */
 struct own_revisions {
     std::uint64_t catalogue = 0;
     std::uint64_t topology = 0;
 };
 
-/** The members as one process sees them. */
+/** The members of the system in the view of one process. */
 class membership
 {
 public:
+    /** @param incarnation increases with each start of this process. @param seed determines the order of the pings. */
     membership(vm_id self, std::uint64_t incarnation, membership_settings settings, std::uint64_t seed);
 
-    /** Takes the platform's list; it lags, so it names who could exist and who leaves, not who lives. */
+    /**
+     * Applies the VM list of the platform. The list lags behind, so it determines only which VMs can be members and
+     * which are leaving, not which are alive.
+     */
     void onList(const vm_list_document &list);
 
-    /** @return the ack to send, if the message asks for one. */
+    /** Applies a received heartbeat. @return the ack to send, unless the message is itself an ack. */
     std::optional<heartbeat_send> onHeartbeat(const heartbeat &message, own_revisions own, millis now);
 
-    /** The connection to the member was refused or reset: evidence at once, without waiting for a missed ack. */
+    /** Marks a member as suspect without waiting for a missed ack, because its connection was refused or reset. */
     void onUnreachable(vm_id vm, millis now);
 
-    /** Sends the next heartbeats and ages suspicions. */
+    /** Marks members as suspect after a missed ack, and suspects as gone after the suspicion timeout.
+     *  @return the ping to send, if one is due. */
     std::vector<heartbeat_send> tick(own_revisions own, millis now);
 
-    /** This process is about to stop: peers stop choosing it as a runner. */
+    /** Announces that this process is about to stop, so that peers no longer choose it as a runner. */
     void startLeaving();
 
-    /** Tells peers of a leaf that leaves. */
+    /** Adds a leaving leaf to the next heartbeats. */
     void spread(leaving_leaf leaf);
 
-    /** Members that may run shards, this process among them unless it leaves; sorted. */
+    /** Members that may run shards, sorted. Includes this process unless it is leaving and other runners exist. */
     [[nodiscard]] std::span<const vm_id> runners() const
     {
         return m_runners;
@@ -72,11 +78,11 @@
 
     [[nodiscard]] bool isRunner(vm_id vm) const;
 
-    /** Listed VMs that do not leave, reachable or not: the divisor of fleet-wide limits. It counts the far side of a
-     *  partition too, so both sides together admit no more than the limit. */
+    /** Number of VMs by which fleet-wide limits are divided: this VM and the other listed VMs that are not leaving. It
+     *  includes unreachable VMs, so that both sides of a network partition together admit no more than the limit. */
     [[nodiscard]] std::size_t listedCount() const;
 
-    /** Rises whenever @ref runners changes. */
+    /** Increases whenever @ref runners changes. */
     [[nodiscard]] std::uint64_t epoch() const
     {
         return m_epoch;
@@ -87,58 +93,59 @@
         return m_self.vm;
     }
 
-    /** What is known of each listed VM, for status. */
+    /** The latest known state of this VM and of each other listed VM, for status output. */
     [[nodiscard]] std::vector<member_rumour> members() const;
 
-    /** What is known of one VM's incarnation. */
+    /** The latest known state of one VM; empty if the VM is not listed. */
     [[nodiscard]] std::optional<member_rumour> find(vm_id vm) const;
 
 private:
     struct member {
-        member_rumour known;
-        bool listed = false;
-        bool listLeaving = false;
+        member_rumour latest;
+        bool listed = false; ///< in the VM list
+        bool listedAsLeaving = false; ///< the VM list says that it is leaving
         millis suspectSince;
-        std::optional<std::uint64_t> awaitedNonce;
+        std::optional<std::uint64_t> awaitedNonce; ///< of the ping whose ack is outstanding
         millis pingedAt;
-        std::uint32_t toldTimes = 0;
-        std::uint32_t skippedPings = 0;
+        std::uint32_t rumourSends = 0; ///< heartbeats that spread the latest rumour
+        std::uint32_t roundsWhileGone = 0; ///< ping rounds in which the member was gone
     };
 
-    void learn(const member_rumour &rumour, millis now);
-    void refute(const member_rumour &rumour);
+    void mergeRumour(const member_rumour &rumour, millis now);
+    void refuteIfContradicted(const member_rumour &rumour);
     void setState(member &target, member_state state, millis now);
     void refreshRunners();
-    void refreshIfChanged();
+    void refreshRunnersIfChanged();
     [[nodiscard]] heartbeat compose(vm_id to, own_revisions own);
     void addRumours(heartbeat &message, vm_id to);
     void addLeavingLeafs(heartbeat &message);
-    std::optional<vm_id> nextToPing();
-    void reshuffle();
-    void judgeMissingAcks(millis now);
-    void ageSuspects(millis now);
-    [[nodiscard]] std::uint32_t tellLimit() const;
+    std::optional<vm_id> nextPingTarget();
+    void shufflePingOrder();
+    void suspectUnackedMembers(millis now);
+    void expireSuspects(millis now);
+    /** @return how many heartbeats spread one rumour or leaving leaf; logarithmic in the number of members. */
+    [[nodiscard]] std::uint32_t maxSendsPerUpdate() const;
 
     membership_settings m_settings;
     seeded_random m_random;
     member_rumour m_self;
-    std::map<vm_id, member> m_members; ///< without this process
+    std::map<vm_id, member> m_members; ///< excludes this process
     std::vector<vm_id> m_runners;
-    bool m_runnersChanged = false; ///< a heartbeat brings several rumours; the list is made anew once for all
+    bool m_runnersChanged = false; ///< defers rebuilding m_runners until all rumours of a heartbeat are applied
     std::vector<vm_id> m_pingOrder;
-    std::set<vm_id> m_awaited; ///< members whose ack is awaited; the rest need no look at each tick
+    std::set<vm_id> m_awaitingAck; ///< members whose ack is outstanding, so that a tick need not visit all members
     std::set<vm_id> m_suspects;
-    std::set<vm_id> m_untold; ///< members of whom something is still to be told
-    std::size_t m_pingNext = 0;
-    std::map<leaving_leaf, std::uint32_t> m_leavingLeafs; ///< and how often each was told
+    std::set<vm_id> m_unsentRumours; ///< members whose latest rumour still has to be sent
+    std::size_t m_nextPingIndex = 0;
+    std::map<leaving_leaf, std::uint32_t> m_leavingLeafs; ///< with the number of heartbeats that carried each
     std::uint64_t m_epoch = 1;
     std::uint64_t m_nonce = 0;
     millis m_lastTick;
-    millis m_nextPing;
+    millis m_nextPingAt;
 };
 
-/** Who runs each shard of a service: rendezvous hashing with at most ceil(shards / runners) shards for a runner.
- *  @pre runners is not empty. @return one VM for each shard, in the order given. */
+/** Assigns the shards of a service to runners by rendezvous hashing, at most ceil(shards / runners) to each runner.
+ *  @pre runners is not empty. @return one VM for each shard, in the order of @p shards. */
 [[nodiscard]] std::vector<vm_id>
 assignShards(const service_name &service, std::span<const shard_info> shards, std::span<const vm_id> runners);
 
--- a/libs/membership/src/membership.cpp
+++ b/libs/membership/src/membership.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** A member believed gone is still asked now and then: the far side of a partition comes back this way. */
-constexpr std::uint32_t gonePingEvery = 5;
+/** Ping rounds per ping of a gone member. Pinging it lets both sides of a network partition find each other again. */
+constexpr std::uint32_t roundsPerGonePing = 5;
 
-bool isNewer(const member_rumour &heard, const member_rumour &known)
+bool isNewer(const member_rumour &received, const member_rumour &current)
 {
-    return std::tie(heard.incarnation, heard.version, heard.state)
-        > std::tie(known.incarnation, known.version, known.state);
+    return std::tie(received.incarnation, received.version, received.state)
+        > std::tie(current.incarnation, current.version, current.state);
 }
 
 } // namespace
@@ -38,24 +38,24 @@
             continue;
         }
         member &entry = m_members[vm.id];
-        entry.known.vm = vm.id;
+        entry.latest.vm = vm.id;
         entry.listed = true;
-        entry.listLeaving = vm.leaving;
+        entry.listedAsLeaving = vm.leaving;
     }
     std::erase_if(m_members, [](const auto &item) { return !item.second.listed; });
     const auto unlisted = [this](vm_id id) { return !m_members.contains(id); };
-    std::erase_if(m_awaited, unlisted);
+    std::erase_if(m_awaitingAck, unlisted);
     std::erase_if(m_suspects, unlisted);
-    std::erase_if(m_untold, unlisted);
-    reshuffle();
+    std::erase_if(m_unsentRumours, unlisted);
+    shufflePingOrder();
     refreshRunners();
 }
 
 std::optional<heartbeat_send> membership::onHeartbeat(const heartbeat &message, own_revisions own, millis now)
 {
-    learn(message.self, now);
+    mergeRumour(message.self, now);
     for (const member_rumour &rumour : message.rumours) {
-        learn(rumour, now);
+        mergeRumour(rumour, now);
     }
     for (const leaving_leaf &leaf : message.leavingLeafs) {
         spread(leaf);
@@ -63,9 +63,9 @@
     const auto found = m_members.find(message.self.vm);
     if (found != m_members.end() && message.isAck && found->second.awaitedNonce == message.nonce) {
         found->second.awaitedNonce.reset();
-        m_awaited.erase(message.self.vm);
+        m_awaitingAck.erase(message.self.vm);
     }
-    refreshIfChanged();
+    refreshRunnersIfChanged();
     if (message.isAck) {
         return std::nullopt;
     }
@@ -78,29 +78,29 @@
 void membership::onUnreachable(vm_id vm, millis now)
 {
     const auto found = m_members.find(vm);
-    if (found != m_members.end() && found->second.known.state == member_state::Alive) {
+    if (found != m_members.end() && found->second.latest.state == member_state::Alive) {
         setState(found->second, member_state::Suspect, now);
-        refreshIfChanged();
+        refreshRunnersIfChanged();
     }
 }
 
 std::vector<heartbeat_send> membership::tick(own_revisions own, millis now)
 {
-    const bool slept = now - m_lastTick > m_settings.pauseGap;
+    const bool wasPaused = now - m_lastTick > m_settings.pauseThreshold;
     m_lastTick = now;
-    if (slept) {
-        // While this process slept, acks could not be read: blaming the others would split the fleet on each wake-up.
-        std::ranges::for_each(m_awaited, [this](vm_id id) { m_members.at(id).awaitedNonce.reset(); });
-        m_awaited.clear();
+    if (wasPaused) {
+        // No acks could be read during the pause. Suspecting the other members would split the fleet after each pause.
+        std::ranges::for_each(m_awaitingAck, [this](vm_id id) { m_members.at(id).awaitedNonce.reset(); });
+        m_awaitingAck.clear();
     }
-    judgeMissingAcks(now);
-    ageSuspects(now);
+    suspectUnackedMembers(now);
+    expireSuspects(now);
     std::vector<heartbeat_send> sends;
-    if (now < m_nextPing) {
+    if (now < m_nextPingAt) {
         return sends;
     }
-    m_nextPing = now + m_settings.pingInterval;
-    const std::optional<vm_id> target = nextToPing();
+    m_nextPingAt = now + m_settings.pingInterval;
+    const std::optional<vm_id> target = nextPingTarget();
     if (!target) {
         return sends;
     }
@@ -108,7 +108,7 @@
     heartbeat message = compose(*target, own);
     message.nonce = ++m_nonce;
     entry.awaitedNonce = message.nonce;
-    m_awaited.insert(*target);
+    m_awaitingAck.insert(*target);
     entry.pingedAt = now;
     sends.push_back({*target, std::move(message)});
     return sends;
@@ -134,14 +134,14 @@
 std::size_t membership::listedCount() const
 {
     return 1 + static_cast<std::size_t>(std::ranges::count_if(m_members, [](const auto &item) {
-               return !item.second.listLeaving;
+               return !item.second.listedAsLeaving;
            }));
 }
 
 std::vector<member_rumour> membership::members() const
 {
     std::vector<member_rumour> all {m_self};
-    std::ranges::transform(m_members, std::back_inserter(all), [](const auto &item) { return item.second.known; });
+    std::ranges::transform(m_members, std::back_inserter(all), [](const auto &item) { return item.second.latest; });
     return all;
 }
 
@@ -151,44 +151,44 @@
         return m_self;
     }
     const auto found = m_members.find(vm);
-    return found != m_members.end() ? std::optional(found->second.known) : std::nullopt;
+    return found != m_members.end() ? std::optional(found->second.latest) : std::nullopt;
 }
 
-void membership::learn(const member_rumour &rumour, millis now)
+void membership::mergeRumour(const member_rumour &rumour, millis now)
 {
     if (rumour.vm == m_self.vm) {
-        refute(rumour);
+        refuteIfContradicted(rumour);
         return;
     }
     const auto found = m_members.find(rumour.vm);
-    if (found == m_members.end() || !isNewer(rumour, found->second.known)) {
+    if (found == m_members.end() || !isNewer(rumour, found->second.latest)) {
         return;
     }
-    found->second.known.incarnation = rumour.incarnation;
-    found->second.known.version = rumour.version;
+    found->second.latest.incarnation = rumour.incarnation;
+    found->second.latest.version = rumour.version;
     setState(found->second, rumour.state, now);
 }
 
-void membership::refute(const member_rumour &rumour)
+void membership::refuteIfContradicted(const member_rumour &rumour)
 {
-    const bool wronged =
+    const bool contradicted =
         rumour.incarnation == m_self.incarnation && rumour.version >= m_self.version && rumour.state != m_self.state;
-    if (wronged) {
+    if (contradicted) {
         m_self.version = rumour.version + 1;
     }
 }
 
 void membership::setState(member &target, member_state state, millis now)
 {
-    const vm_id id = target.known.vm;
-    const bool changes = target.known.state != state;
+    const vm_id id = target.latest.vm;
+    const bool changes = target.latest.state != state;
     m_runnersChanged = m_runnersChanged || changes;
-    target.known.state = state;
-    // That a listed member lives is what everyone assumes; telling it would fill the heartbeats of a large fleet for
-    // minutes and hold up the news of a loss.
+    target.latest.state = state;
+    // Every VM already assumes that a listed member is alive. Rumours that repeat it would fill the heartbeats of a
+    // large fleet for minutes and delay the rumours about lost members.
     if (changes || state != member_state::Alive) {
-        target.toldTimes = 0;
-        m_untold.insert(id);
+        target.rumourSends = 0;
+        m_unsentRumours.insert(id);
     }
     if (state == member_state::Suspect) {
         target.suspectSince = now;
@@ -198,7 +198,7 @@
     }
 }
 
-void membership::refreshIfChanged()
+void membership::refreshRunnersIfChanged()
 {
     if (std::exchange(m_runnersChanged, false)) {
         refreshRunners();
@@ -209,7 +209,7 @@
 {
     std::vector<vm_id> runners;
     for (const auto &[id, entry] : m_members) {
-        if (entry.listed && !entry.listLeaving && entry.known.state == member_state::Alive) {
+        if (entry.listed && !entry.listedAsLeaving && entry.latest.state == member_state::Alive) {
             runners.push_back(id);
         }
     }
@@ -237,92 +237,94 @@
 void membership::addRumours(heartbeat &message, vm_id to)
 {
     const auto receiver = m_members.find(to);
-    if (receiver != m_members.end() && receiver->second.known.state != member_state::Alive) {
-        message.rumours.push_back(receiver->second.known); // So that it can refute.
+    if (receiver != m_members.end() && receiver->second.latest.state != member_state::Alive) {
+        message.rumours.push_back(receiver->second.latest); // lets the receiver refute it
     }
-    std::vector<member *> untold;
-    for (const vm_id id : m_untold) {
+    std::vector<member *> candidates;
+    for (const vm_id id : m_unsentRumours) {
         member &entry = m_members.at(id);
-        if (id != to && entry.known.incarnation != 0) {
-            untold.push_back(&entry);
+        if (id != to && entry.latest.incarnation != 0) {
+            candidates.push_back(&entry);
         }
     }
-    const std::size_t count = std::min<std::size_t>(untold.size(), m_settings.rumoursPerHeartbeat);
-    std::ranges::partial_sort(untold, untold.begin() + static_cast<std::ptrdiff_t>(count), {}, &member::toldTimes);
-    for (member *entry : std::span(untold).first(count)) {
-        message.rumours.push_back(entry->known);
-        if (++entry->toldTimes >= tellLimit()) {
-            m_untold.erase(entry->known.vm);
+    const std::size_t count = std::min<std::size_t>(candidates.size(), m_settings.maxRumoursPerHeartbeat);
+    std::ranges::partial_sort(
+        candidates, candidates.begin() + static_cast<std::ptrdiff_t>(count), {}, &member::rumourSends);
+    for (member *entry : std::span(candidates).first(count)) {
+        message.rumours.push_back(entry->latest);
+        if (++entry->rumourSends >= maxSendsPerUpdate()) {
+            m_unsentRumours.erase(entry->latest.vm);
         }
     }
 }
 
 void membership::addLeavingLeafs(heartbeat &message)
 {
-    constexpr std::size_t leafsPerHeartbeat = 4;
-    for (auto &[leaf, told] : m_leavingLeafs) {
-        if (told < tellLimit() && message.leavingLeafs.size() < leafsPerHeartbeat) {
+    constexpr std::size_t maxLeafsPerHeartbeat = 4;
+    for (auto &[leaf, sends] : m_leavingLeafs) {
+        if (sends < maxSendsPerUpdate() && message.leavingLeafs.size() < maxLeafsPerHeartbeat) {
             message.leavingLeafs.push_back(leaf);
-            ++told;
+            ++sends;
         }
     }
 }
 
-std::optional<vm_id> membership::nextToPing()
+std::optional<vm_id> membership::nextPingTarget()
 {
-    for (std::size_t tried = 0; tried < m_pingOrder.size(); ++tried) {
-        if (m_pingNext >= m_pingOrder.size()) {
-            reshuffle();
+    for (std::size_t checked = 0; checked < m_pingOrder.size(); ++checked) {
+        if (m_nextPingIndex >= m_pingOrder.size()) {
+            shufflePingOrder();
         }
-        const vm_id candidate = m_pingOrder[m_pingNext++];
+        const vm_id candidate = m_pingOrder[m_nextPingIndex++];
         member &entry = m_members.at(candidate);
-        const bool rest = entry.known.state == member_state::Gone && ++entry.skippedPings % gonePingEvery != 0;
-        if (!rest && !entry.awaitedNonce) {
+        const bool skipped =
+            entry.latest.state == member_state::Gone && ++entry.roundsWhileGone % roundsPerGonePing != 0;
+        if (!skipped && !entry.awaitedNonce) {
             return candidate;
         }
     }
     return std::nullopt;
 }
 
-void membership::reshuffle()
+void membership::shufflePingOrder()
 {
     m_pingOrder.clear();
     std::ranges::transform(m_members, std::back_inserter(m_pingOrder), [](const auto &item) { return item.first; });
     for (std::size_t index = m_pingOrder.size(); index > 1; --index) {
         std::swap(m_pingOrder[index - 1], m_pingOrder[m_random.below(index)]);
     }
-    m_pingNext = 0;
+    m_nextPingIndex = 0;
 }
 
-void membership::judgeMissingAcks(millis now)
+void membership::suspectUnackedMembers(millis now)
 {
-    const std::set<vm_id> awaited = m_awaited;
+    const std::set<vm_id> awaited = m_awaitingAck;
     for (const vm_id id : awaited) {
         member &entry = m_members.at(id);
         if (now - entry.pingedAt >= m_settings.ackTimeout) {
             entry.awaitedNonce.reset();
-            m_awaited.erase(id);
+            m_awaitingAck.erase(id);
             onUnreachable(id, now);
         }
     }
 }
 
-void membership::ageSuspects(millis now)
+void membership::expireSuspects(millis now)
 {
     const std::set<vm_id> suspects = m_suspects;
     for (const vm_id id : suspects) {
         member &entry = m_members.at(id);
-        if (now - entry.suspectSince >= m_settings.suspectFor) {
+        if (now - entry.suspectSince >= m_settings.suspicionTimeout) {
             setState(entry, member_state::Gone, now);
         }
     }
-    refreshIfChanged();
+    refreshRunnersIfChanged();
 }
 
-std::uint32_t membership::tellLimit() const
+std::uint32_t membership::maxSendsPerUpdate() const
 {
-    constexpr std::uint32_t tellFactor = 3;
-    return tellFactor * static_cast<std::uint32_t>(std::bit_width(m_members.size() + 1));
+    constexpr std::uint32_t sendFactor = 3;
+    return sendFactor * static_cast<std::uint32_t>(std::bit_width(m_members.size() + 1));
 }
 
 } // namespace chivelock
--- a/libs/membership/tests/test_membership.cpp
+++ b/libs/membership/tests/test_membership.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-vm_list_document listOf(std::uint32_t count)
+vm_list_document vmListOf(std::uint32_t count)
 {
     vm_list_document list {1, {}};
     for (std::uint32_t id = 1; id <= count; ++id) {
@@ -29,7 +29,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_runner_has_more_than_its_share_and_a_loss_moves_little)
+BOOST_AUTO_TEST_CASE(no_runner_exceeds_its_share_and_losing_a_runner_moves_few_shards)
 {
     const std::vector<vm_id> eight = {{1}, {2}, {3}, {4}, {5}, {6}, {7}, {8}};
     const std::vector<vm_id> seven = {{1}, {2}, {3}, {5}, {6}, {7}, {8}};
@@ -46,82 +46,81 @@
     BOOST_TEST(moved <= shards.size() / 4);
 }
 
-BOOST_AUTO_TEST_CASE(silent_member_becomes_suspect_then_gone_and_comes_back)
+BOOST_AUTO_TEST_CASE(unresponsive_member_becomes_suspect_then_gone_and_rejoins_on_heartbeat)
 {
-    membership one({1}, 100, {}, 1);
-    one.onList(listOf(2));
+    membership firstVm({1}, 100, {}, 1);
+    firstVm.onList(vmListOf(2));
     millis now(1000);
-    (void)one.tick({}, now);
-    BOOST_TEST(one.isRunner({2}));
+    (void)firstVm.tick({}, now);
+    BOOST_TEST(firstVm.isRunner({2}));
     const auto run = [&](millis until) {
         for (; now < until; now = now + millis(50)) {
-            (void)one.tick({}, now);
+            (void)firstVm.tick({}, now);
         }
     };
     run(millis(1600));
-    BOOST_TEST((one.find({2})->state == member_state::Suspect));
-    BOOST_TEST(!one.isRunner({2}));
+    BOOST_TEST((firstVm.find({2})->state == member_state::Suspect));
+    BOOST_TEST(!firstVm.isRunner({2}));
     run(millis(5500));
-    BOOST_TEST((one.find({2})->state == member_state::Gone));
-    heartbeat beat;
-    beat.self = {{2}, 7, 0, member_state::Alive};
-    (void)one.onHeartbeat(beat, {}, now);
-    BOOST_TEST(one.isRunner({2}));
+    BOOST_TEST((firstVm.find({2})->state == member_state::Gone));
+    heartbeat message;
+    message.self = {{2}, 7, 0, member_state::Alive};
+    (void)firstVm.onHeartbeat(message, {}, now);
+    BOOST_TEST(firstVm.isRunner({2}));
 }
 
-// Symptom: after one process sleeps, it takes all others for dead and runs every shard itself.
-// Sequence: it sends heartbeats, sleeps 10 s, wakes, and sees that no ack came "for 10 s".
-// Cause: counting its own sleep as the others' silence.
-BOOST_AUTO_TEST_CASE(own_sleep_is_not_blamed_on_others)
+// Failure: after a process pause, the process considers all other members gone and runs every shard itself. It occurs
+// when the process sends pings, is paused for 10 s and then counts the pause as 10 s without acks from the others.
+BOOST_AUTO_TEST_CASE(process_pause_does_not_make_other_members_suspect)
 {
-    membership one({1}, 100, {}, 1);
-    one.onList(listOf(3));
-    (void)one.tick({}, millis(1000));
-    (void)one.tick({}, millis(1200));
-    (void)one.tick({}, millis(11200));
-    BOOST_TEST(one.runners().size() == 3);
+    membership firstVm({1}, 100, {}, 1);
+    firstVm.onList(vmListOf(3));
+    (void)firstVm.tick({}, millis(1000));
+    (void)firstVm.tick({}, millis(1200));
+    (void)firstVm.tick({}, millis(11200));
+    BOOST_TEST(firstVm.runners().size() == 3);
 }
 
-// Symptom: a live member stays out for ever after one lost ack.
-// Sequence: a peer suspects it and tells others; it hears of it and must be able to contradict.
-// Cause: rumours of equal age where the worse one wins.
-BOOST_AUTO_TEST_CASE(wronged_member_refutes)
+// Failure: a live member stays excluded forever after one lost ack. It occurs when a peer suspects the member and
+// spreads the rumour: of two rumours with equal incarnation and version the worse state wins, so the member must be
+// able to refute it with a higher version.
+BOOST_AUTO_TEST_CASE(wrongly_suspected_member_refutes_suspicion)
 {
-    membership one({1}, 100, {}, 1);
-    membership two({2}, 200, {}, 2);
-    one.onList(listOf(2));
-    two.onList(listOf(2));
-    heartbeat hello;
-    hello.self = *two.find({2});
-    (void)one.onHeartbeat(hello, {}, millis(1000));
-    one.onUnreachable({2}, millis(1001));
-    BOOST_TEST(!one.isRunner({2}));
-    const auto first = one.onHeartbeat(hello, {}, millis(1002));
-    (void)two.onHeartbeat(first->message, {}, millis(1003));
-    hello.self = *two.find({2});
-    (void)one.onHeartbeat(hello, {}, millis(1004));
-    BOOST_TEST(one.isRunner({2}));
+    membership firstVm({1}, 100, {}, 1);
+    membership secondVm({2}, 200, {}, 2);
+    firstVm.onList(vmListOf(2));
+    secondVm.onList(vmListOf(2));
+    heartbeat fromSecond;
+    fromSecond.self = *secondVm.find({2});
+    (void)firstVm.onHeartbeat(fromSecond, {}, millis(1000));
+    firstVm.onUnreachable({2}, millis(1001));
+    BOOST_TEST(!firstVm.isRunner({2}));
+    const auto ack = firstVm.onHeartbeat(fromSecond, {}, millis(1002));
+    (void)secondVm.onHeartbeat(ack->message, {}, millis(1003));
+    fromSecond.self = *secondVm.find({2});
+    (void)firstVm.onHeartbeat(fromSecond, {}, millis(1004));
+    BOOST_TEST(firstVm.isRunner({2}));
 }
 
-BOOST_AUTO_TEST_CASE(leaving_member_gets_no_new_runs_and_limits_count_the_far_side_of_a_partition)
+BOOST_AUTO_TEST_CASE(leaving_member_is_no_runner_and_listed_count_includes_unreachable_members)
 {
-    membership one({1}, 100, {}, 1);
-    one.onList(listOf(4));
-    heartbeat beat;
-    beat.self = {{2}, 7, 1, member_state::Leaving};
-    (void)one.onHeartbeat(beat, {}, millis(1000));
-    BOOST_TEST(!one.isRunner({2}));
-    one.onUnreachable({3}, millis(1000));
-    BOOST_TEST(one.runners().size() == 2);
-    BOOST_TEST(one.listedCount() == 4);
+    membership firstVm({1}, 100, {}, 1);
+    firstVm.onList(vmListOf(4));
+    heartbeat message;
+    message.self = {{2}, 7, 1, member_state::Leaving};
+    (void)firstVm.onHeartbeat(message, {}, millis(1000));
+    BOOST_TEST(!firstVm.isRunner({2}));
+    firstVm.onUnreachable({3}, millis(1000));
+    BOOST_TEST(firstVm.runners().size() == 2);
+    BOOST_TEST(firstVm.listedCount() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_leafs_spread_with_heartbeats)
+BOOST_AUTO_TEST_CASE(heartbeats_carry_leaving_leafs)
 {
-    membership one({1}, 100, {}, 1);
-    one.onList(listOf(2));
-    one.spread({{5}, 1});
-    const auto sends = one.tick({}, millis(5000));
+    membership firstVm({1}, 100, {}, 1);
+    firstVm.onList(vmListOf(2));
+    firstVm.spread({{5}, 1});
+    const auto sends = firstVm.tick({}, millis(5000));
     BOOST_REQUIRE(sends.size() == 1);
     BOOST_TEST((sends.front().message.leavingLeafs == std::vector<leaving_leaf> {{{5}, 1}}));
 }
