--- a/programs/chivelock/commands.cpp
+++ b/programs/chivelock/commands.cpp
@@ -19,7 +19,7 @@
 using nlohmann::json;
 
 constexpr millis pageTimeout {2000};
-constexpr millis replyGrace {2000}; ///< over the caller's own limit: the entry answers by then
+constexpr millis replyMargin {2000}; ///< added to the lookup's time limit, by which the entry has to answer
 constexpr long okStatus = 200;
 
 void printError(const http_error &error)
@@ -27,7 +27,7 @@
     std::cerr << "chivelock: " << error.url << ": " << error.reason << '\n';
 }
 
-tl::expected<json, std::string> lookupBody(const lookup_command &command, const std::string &ticket)
+tl::expected<json, std::string> makeLookupBody(const lookup_command &command, const std::string &ticket)
 {
     const json query = json::parse(command.query, nullptr, false);
     if (query.is_discarded()) {
@@ -46,30 +46,31 @@
     return body;
 }
 
-/** The answer as text; a page that is no JSON is told as it came. */
-std::string pretty(const std::string &body)
+/** Returns @p body indented if it is JSON, otherwise unchanged. */
+std::string formatJson(const std::string &body)
 {
     const json parsed = json::parse(body, nullptr, false);
     return parsed.is_discarded() ? body : parsed.dump(1);
 }
 
-struct entry_page {
+struct entry_status_page {
     std::string entry;
-    json page; ///< null if it did not answer
+    json page; ///< null if the entry did not return a status page
     std::string problem;
 };
 
-entry_page readStatus(const std::string &entry)
+entry_status_page readStatus(const std::string &entry)
 {
     const auto result = httpGet(entry + "/v1/status", pageTimeout);
     if (!result) {
         return {entry, json(), result.error().reason};
     }
     json page = json::parse(result->body, nullptr, false);
-    return page.is_object() ? entry_page {entry, std::move(page), ""} : entry_page {entry, json(), "not a status page"};
+    return page.is_object() ? entry_status_page {entry, std::move(page), ""}
+                            : entry_status_page {entry, json(), "not a status page"};
 }
 
-std::string troublesOf(const entry_page &page)
+std::string joinTroubles(const entry_status_page &page)
 {
     std::string text;
     for (const json &trouble : page.page.at("troubles")) {
@@ -78,7 +79,7 @@
     return text.empty() ? "-" : text;
 }
 
-void printTable(std::span<const entry_page> pages)
+void printTable(std::span<const entry_status_page> pages)
 {
     constexpr int entryWidth = 26;
     constexpr int numberWidth = 11;
@@ -86,7 +87,7 @@
               << std::setw(numberWidth) << "CATALOGUE" << std::setw(numberWidth) << "TOPOLOGY" << std::setw(numberWidth)
               << "LOOKUPS"
               << "NOT WELL\n";
-    for (const entry_page &page : pages) {
+    for (const entry_status_page &page : pages) {
         std::cout << std::setw(entryWidth) << page.entry;
         if (page.page.is_null()) {
             std::cout << "no answer: " << page.problem << '\n';
@@ -96,13 +97,13 @@
                   << std::setw(numberWidth) << page.page.at("catalogue_revision").get<std::uint64_t>()
                   << std::setw(numberWidth) << page.page.at("topology_revision").get<std::uint64_t>()
                   << std::setw(numberWidth) << page.page.at("lookups_in_flight").get<std::uint64_t>()
-                  << troublesOf(page) << '\n';
+                  << joinTroubles(page) << '\n';
     }
 }
 
-bool allWell(std::span<const entry_page> pages)
+bool allHealthy(std::span<const entry_status_page> pages)
 {
-    return std::ranges::all_of(pages, [&pages](const entry_page &page) {
+    return std::ranges::all_of(pages, [&pages](const entry_status_page &page) {
         return !page.page.is_null() && page.page.at("troubles").empty()
             && page.page.at("catalogue_revision") == pages.front().page.value("catalogue_revision", json());
     });
@@ -113,15 +114,16 @@
 int runLookup(const lookup_command &command)
 {
     const std::string url = command.entry + "/v1/lookups/" + command.kind;
-    const millis timeout = command.timeLimit + replyGrace;
+    const millis timeout = command.timeLimit + replyMargin;
     std::string ticket = command.ticket;
     if (command.fetchTicket && ticket.empty()) {
-        const auto asked =
-            lookupBody(command, "").map([&](const json &body) { return httpPost(url, body.dump(), timeout); });
-        const json reply = asked && *asked ? json::parse((*asked)->body, nullptr, false) : json();
+        const auto ticketResponse =
+            makeLookupBody(command, "").map([&](const json &body) { return httpPost(url, body.dump(), timeout); });
+        const json reply =
+            ticketResponse && *ticketResponse ? json::parse((*ticketResponse)->body, nullptr, false) : json();
         ticket = reply.is_object() ? reply.value("ticket", "") : "";
     }
-    const auto body = lookupBody(command, ticket);
+    const auto body = makeLookupBody(command, ticket);
     if (!body) {
         std::cerr << "chivelock: " << body.error() << '\n';
         return exit_code::usage;
@@ -131,24 +133,24 @@
         printError(result.error());
         return exit_code::failed;
     }
-    std::cout << pretty(result->body) << '\n';
+    std::cout << formatJson(result->body) << '\n';
     return result->status == okStatus ? exit_code::ok : exit_code::failed;
 }
 
 int runStatus(const status_command &command)
 {
-    std::vector<entry_page> pages;
+    std::vector<entry_status_page> pages;
     std::ranges::transform(command.entries, std::back_inserter(pages), readStatus);
     if (command.asJson) {
-        json all = json::array();
-        for (const entry_page &page : pages) {
-            all.push_back({{"entry", page.entry}, {"status", page.page}, {"problem", page.problem}});
+        json statusList = json::array();
+        for (const entry_status_page &page : pages) {
+            statusList.push_back({{"entry", page.entry}, {"status", page.page}, {"problem", page.problem}});
         }
-        std::cout << all.dump(1) << '\n';
+        std::cout << statusList.dump(1) << '\n';
     } else {
         printTable(pages);
     }
-    return allWell(pages) ? exit_code::ok : exit_code::refused;
+    return allHealthy(pages) ? exit_code::ok : exit_code::refused;
 }
 
 int runAudit(const std::string &entry)
--- a/programs/chivelock/commands.h
+++ b/programs/chivelock/commands.h
@@ -13,12 +13,13 @@
 
 namespace chivelock {
 
-/** Documented in --help and docs/CLI.md; scripts rely on them. */
+/** Exit codes, documented in --help and docs/CLI.md; scripts rely on their values. */
 namespace exit_code {
 inline constexpr int ok = 0;
-inline constexpr int failed = 1; ///< no entry answered, or the lookup was not answered whole or partially
+inline constexpr int failed = 1; ///< no entry answered, or the lookup got neither a complete nor a partial answer
 inline constexpr int usage = 2; ///< the command line is wrong
-inline constexpr int refused = 3; ///< the document is refused, or something in the fleet is not well
+inline constexpr int refused = 3; ///< the document was refused, or an entry is unreachable, reports a problem
+                                  ///< or has another catalogue revision than the first entry
 } // namespace exit_code
 
 struct lookup_command {
@@ -29,7 +30,7 @@
     std::string requestId;
     std::string ticket;
     millis timeLimit {1000};
-    bool fetchTicket = false; ///< asks for a ticket first and uses it
+    bool fetchTicket = false; ///< requests a ticket first and sends the lookup with it
 };
 
 struct status_command {
@@ -39,12 +40,12 @@
 
 struct load_command {
     std::vector<std::string> entries;
-    std::vector<std::string> kinds; ///< taken in turn
+    std::vector<std::string> kinds; ///< used round-robin
     double perSecond = 100;
     millis duration {10000};
     millis timeLimit {1000};
-    std::uint32_t connections = 64; ///< requests out at once, at most
-    bool quiet = false; ///< no progress lines
+    std::uint32_t connections = 64; ///< maximum number of concurrent requests
+    bool quiet = false; ///< suppresses the progress lines
 };
 
 [[nodiscard]] int runLookup(const lookup_command &command);
--- a/programs/chivelock/http_client.cpp
+++ b/programs/chivelock/http_client.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-std::size_t appendText(char *data, std::size_t size, std::size_t count, void *target)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *target)
 {
     static_cast<std::string *>(target)->append(data, size * count);
     return size * count;
 }
 
-tl::expected<http_result, http_error> exchange(const std::string &url, const std::string *body, millis timeout)
+tl::expected<http_result, http_error> performRequest(const std::string &url, const std::string *body, millis timeout)
 {
     const std::unique_ptr<CURL, decltype(&curl_easy_cleanup)> handle(curl_easy_init(), &curl_easy_cleanup);
     http_result result;
     curl_easy_setopt(handle.get(), CURLOPT_URL, url.c_str());
-    curl_easy_setopt(handle.get(), CURLOPT_WRITEFUNCTION, appendText);
+    curl_easy_setopt(handle.get(), CURLOPT_WRITEFUNCTION, appendBody);
     curl_easy_setopt(handle.get(), CURLOPT_WRITEDATA, &result.body);
     curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT_MS, static_cast<long>(timeout.ceiled()));
     curl_easy_setopt(handle.get(), CURLOPT_NOSIGNAL, 1L);
@@ -39,12 +39,12 @@
 
 tl::expected<http_result, http_error> httpGet(const std::string &url, millis timeout)
 {
-    return exchange(url, nullptr, timeout);
+    return performRequest(url, nullptr, timeout);
 }
 
 tl::expected<http_result, http_error> httpPost(const std::string &url, const std::string &body, millis timeout)
 {
-    return exchange(url, &body, timeout);
+    return performRequest(url, &body, timeout);
 }
 
 } // namespace chivelock
--- a/programs/chivelock/http_client.h
+++ b/programs/chivelock/http_client.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * HTTP from the command line program to entries of the system, by libcurl.
+ * HTTP client of the command line program, based on libcurl.
  */
 
 #include <base/base.h>
@@ -14,13 +14,13 @@
 
 namespace chivelock {
 
-/** One reply. */
+/** Status and body of an HTTP response. */
 struct http_result {
     long status = 0;
     std::string body;
 };
 
-/** Why no reply came. */
+/** Reason why a request got no HTTP response. */
 struct http_error {
     std::string url;
     std::string reason;
--- a/programs/chivelock/load.cpp
+++ b/programs/chivelock/load.cpp
@@ -1,7 +1,8 @@
 /**
  * @file
- * Open-loop load: requests start at their intended times whether or not earlier ones have ended, and latency counts
- * from the intended time. A closed loop would send less just when answers are slow, and hide it.
+ * Open-loop load generator: each request starts at its intended time, whether or not earlier requests have completed,
+ * and its latency is measured from that time. A closed loop would send fewer requests while answers are slow and so
+ * hide the slowness (coordinated omission).
  */
 
 #include "commands.h"
@@ -24,30 +25,30 @@
 
 using nlohmann::json;
 
-constexpr millis replyGrace {2000};
+constexpr millis replyMargin {2000};
 constexpr long okStatus = 200;
 
-std::size_t appendText(char *data, std::size_t size, std::size_t count, void *target)
+std::size_t appendBody(char *data, std::size_t size, std::size_t count, void *target)
 {
     static_cast<std::string *>(target)->append(data, size * count);
     return size * count;
 }
 
-/** One request on its way. */
+/** A request in flight. */
 struct open_request {
     CURL *handle = nullptr;
     std::string url;
     std::string body;
     std::string reply;
     std::size_t kind = 0;
-    millis intended;
+    millis intendedStart;
 };
 
-/** What was seen of one kind. */
+/** Results of all requests of one kind. */
 struct kind_results {
     latency_histogram answered;
     latency_histogram refused;
-    std::map<std::string, std::uint64_t> outcomes; ///< outcome or outcome:reason, and how often
+    std::map<std::string, std::uint64_t> outcomes; ///< number of requests by "outcome" or "outcome:reason"
 };
 
 class load_run
@@ -77,18 +78,18 @@
     int run()
     {
         const millis begin = m_clock.now();
-        const millis interval(1000 / m_command.perSecond);
+        const millis sendInterval(1000 / m_command.perSecond);
         std::uint64_t sent = 0;
-        millis nextReport = begin + reportEvery;
+        millis nextProgress = begin + progressInterval;
         while (true) {
             const millis now = m_clock.now();
-            while (begin + interval * static_cast<double>(sent) <= now && now - begin < m_command.duration) {
-                start(sent, begin + interval * static_cast<double>(sent));
+            while (begin + sendInterval * static_cast<double>(sent) <= now && now - begin < m_command.duration) {
+                start(sent, begin + sendInterval * static_cast<double>(sent));
                 ++sent;
             }
-            collect();
-            if (now >= nextReport && !m_command.quiet) {
-                nextReport = now + reportEvery;
+            processCompletions();
+            if (now >= nextProgress && !m_command.quiet) {
+                nextProgress = now + progressInterval;
                 std::cerr << "sent " << sent << ", open " << m_open.size() << ", answered " << m_answered
                           << ", not answered " << m_notAnswered << '\n';
             }
@@ -102,9 +103,9 @@
     }
 
 private:
-    static constexpr millis reportEvery {1000};
+    static constexpr millis progressInterval {1000};
 
-    void start(std::uint64_t number, millis intended)
+    void start(std::uint64_t number, millis intendedStart)
     {
         const std::size_t kind = number % m_command.kinds.size();
         if (m_open.size() >= m_command.connections) {
@@ -114,9 +115,9 @@
         }
         auto owned = std::make_unique<open_request>();
         open_request &request = *owned;
-        request.handle = takeHandle();
+        request.handle = acquireHandle();
         request.kind = kind;
-        request.intended = intended;
+        request.intendedStart = intendedStart;
         request.url = m_command.entries[number % m_command.entries.size()] + "/v1/lookups/" + m_command.kinds[kind];
         request.body = json {{"query", {{"n", number}}},
                              {"key", "k" + std::to_string(number)},
@@ -124,16 +125,16 @@
                            .dump();
         curl_easy_setopt(request.handle, CURLOPT_URL, request.url.c_str());
         curl_easy_setopt(request.handle, CURLOPT_POSTFIELDS, request.body.c_str());
-        curl_easy_setopt(request.handle, CURLOPT_WRITEFUNCTION, appendText);
+        curl_easy_setopt(request.handle, CURLOPT_WRITEFUNCTION, appendBody);
         curl_easy_setopt(request.handle, CURLOPT_WRITEDATA, &request.reply);
         curl_easy_setopt(request.handle, CURLOPT_NOSIGNAL, 1L);
         curl_easy_setopt(
-            request.handle, CURLOPT_TIMEOUT_MS, static_cast<long>((m_command.timeLimit + replyGrace).ceiled()));
+            request.handle, CURLOPT_TIMEOUT_MS, static_cast<long>((m_command.timeLimit + replyMargin).ceiled()));
         curl_multi_add_handle(m_multi, request.handle);
         m_open.emplace(request.handle, std::move(owned));
     }
 
-    CURL *takeHandle()
+    CURL *acquireHandle()
     {
         if (m_idle.empty()) {
             return curl_easy_init();
@@ -144,7 +145,7 @@
         return handle;
     }
 
-    void collect()
+    void processCompletions()
     {
         int running = 0;
         curl_multi_perform(m_multi, &running);
@@ -165,10 +166,10 @@
         curl_easy_getinfo(handle, CURLINFO_RESPONSE_CODE, &status);
         curl_multi_remove_handle(m_multi, handle);
         m_idle.push_back(handle);
-        const millis took = m_clock.now() - ended->intended;
+        const millis latency = m_clock.now() - ended->intendedStart;
         kind_results &results = m_results[ended->kind];
         const bool answered = result == CURLE_OK && status == okStatus;
-        (answered ? results.answered : results.refused).add(took);
+        (answered ? results.answered : results.refused).add(latency);
         ++(answered ? m_answered : m_notAnswered);
         ++results.outcomes[outcomeOf(*ended, result)];
     }
--- a/programs/chivelock/main.cpp
+++ b/programs/chivelock/main.cpp
@@ -1,6 +1,6 @@
 /**
  * @file
- * chivelock: the operators' and testers' command line program.
+ * chivelock: the command line program for operators and testers.
  */
 
 #include "commands.h"
@@ -36,14 +36,15 @@
   0 done   1 no answer   2 wrong command line   3 document refused, or something is not well
 )";
 
-/** Reads the command line; wrong ones end in the documented exit code rather than in the library's own. */
+/** Parses the command line. Errors are thrown, so that the program exits with its own documented exit code and not
+ *  with that of TCLAP. */
 void parse(TCLAP::CmdLine &line, int argc, char **argv)
 {
     line.setExceptionHandling(false);
     line.parse(argc, argv);
 }
 
-using entries_arg = TCLAP::MultiArg<std::string>;
+using string_list_arg = TCLAP::MultiArg<std::string>;
 
 int lookupMain(int argc, char **argv)
 {
@@ -75,7 +76,7 @@
 {
     TCLAP::CmdLine line(
         "The fleet's state. Exit codes: 0 all well, 2 wrong command line, 3 something is not well", ' ', "0.1.0");
-    entries_arg entries("e", "entry", "entry to ask; may be given several times", true, "URL", line);
+    string_list_arg entries("e", "entry", "entry to ask; may be given several times", true, "URL", line);
     TCLAP::SwitchArg asJson("j", "json", "JSON instead of a table", line);
     parse(line, argc, argv);
     return runStatus({entries.getValue(), asJson.getValue()});
@@ -114,8 +115,8 @@
                         "answered, 2 wrong command line",
                         ' ',
                         "0.1.0");
-    entries_arg entries("e", "entry", "entry to ask; several are taken in turn", true, "URL", line);
-    entries_arg kinds("k", "kind", "kind to ask for; several are taken in turn", true, "KIND", line);
+    string_list_arg entries("e", "entry", "entry to ask; several are taken in turn", true, "URL", line);
+    string_list_arg kinds("k", "kind", "kind to ask for; several are taken in turn", true, "KIND", line);
     TCLAP::ValueArg<double> rate("r", "rate", "lookups per second", false, 100, "N", line);
     TCLAP::ValueArg<double> seconds("s", "seconds", "how long", false, 10, "S", line);
     TCLAP::ValueArg<double> limit("l", "limit-ms", "time limit of each lookup", false, 1000, "MS", line);
@@ -136,24 +137,24 @@
                     quiet.getValue()});
 }
 
-struct command_entry {
+struct subcommand {
     std::string_view name;
     int (*run)(int, char **);
 };
 
-constexpr command_entry commands[] = {{"lookup", lookupMain},
-                                      {"status", statusMain},
-                                      {"audit", auditMain},
-                                      {"catalogue", catalogueMain},
-                                      {"load", loadMain}};
+constexpr subcommand commands[] = {{"lookup", lookupMain},
+                                   {"status", statusMain},
+                                   {"audit", auditMain},
+                                   {"catalogue", catalogueMain},
+                                   {"load", loadMain}};
 
-int runCommand(const command_entry &command, int argc, char **argv)
+int runCommand(const subcommand &command, int argc, char **argv)
 {
     try {
-        // TCLAP takes the command's name as the program's.
+        // Skips argv[0], so that TCLAP shows the command's name as the program name.
         return command.run(argc - 1, argv + 1);
-    } catch (const TCLAP::ExitException &wanted) {
-        return wanted.getExitStatus() == 0 ? exit_code::ok : exit_code::usage;
+    } catch (const TCLAP::ExitException &exitRequest) {
+        return exitRequest.getExitStatus() == 0 ? exit_code::ok : exit_code::usage;
     } catch (const TCLAP::ArgException &problem) {
         std::cerr << "chivelock: " << problem.error() << " " << problem.argId() << "; see --help\n";
         return exit_code::usage;
@@ -169,7 +170,7 @@
         std::cout << usageText;
         return exit_code::ok;
     }
-    for (const command_entry &command : commands) {
+    for (const subcommand &command : commands) {
         if (command.name == name) {
             curl_global_init(CURL_GLOBAL_DEFAULT);
             const int code = runCommand(command, argc, argv);
