--- a/programs/chivelockd/answer_writer.cpp
+++ b/programs/chivelockd/answer_writer.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/** More than callers and pages that can wait at once; see caller_http::maxWaiting. */
+/** Exceeds the number of callers and pages that can wait at the same time, so that each has room in the ring. */
 constexpr std::size_t answerCapacity = 65000;
-static_assert(answerCapacity > caller_http::maxWaiting);
+static_assert(answerCapacity > caller_http::maxWaitingCallers);
 
-constexpr int waitMs = 50;
+constexpr int maxPollMs = 50;
 
 } // namespace
 
@@ -38,17 +38,17 @@
 
 void answer_writer::stop()
 {
-    m_end = true;
+    m_stopThread = true;
     m_thread.join();
 }
 
-/** Writes each kind of item. */
+/** Sends the reply for each kind of item. */
 struct answer_writer::item_handler {
     answer_writer &writer;
 
     void operator()(const caller_answer &item) const
     {
-        const std::optional<waiting_caller> caller = writer.m_http->take(item.caller);
+        const std::optional<waiting_caller> caller = writer.m_http->removeWaiting(item.caller);
         if (!caller) {
             return;
         }
@@ -58,10 +58,11 @@
                           item.answer.retryAfter,
                           writer.m_decision->isStopping()};
         caller_http::send(*caller, reply);
-        // Names that callers made up would make as many series in the metrics as callers care to invent.
-        const bool known =
+        // A kind that is not in the catalogue is counted as "unknown": otherwise callers could create any number of
+        // metric series.
+        const bool isKnownKind =
             item.answer.reason != answer_reason::UnknownKind && item.answer.reason != answer_reason::NoCatalogue;
-        const std::string kind = known ? item.answer.kind.value : "unknown";
+        const std::string kind = isKnownKind ? item.answer.kind.value : "unknown";
         writer.m_metrics.add(
             {kind, std::string(toString(item.answer.priority)), std::string(toString(item.answer.outcome))},
             item.answer.elapsed);
@@ -70,7 +71,7 @@
 
     void operator()(const report_page &item) const
     {
-        if (const std::optional<waiting_caller> caller = writer.m_http->take(item.caller)) {
+        if (const std::optional<waiting_caller> caller = writer.m_http->removeWaiting(item.caller)) {
             caller_http::send(*caller,
                               {item.status, item.contentType, item.body, millis(), writer.m_decision->isStopping()});
         }
@@ -86,9 +87,9 @@
 
 void answer_writer::run()
 {
-    while (!m_end) {
+    while (!m_stopThread) {
         pollfd readable {m_ring.wakeFd(), POLLIN, 0};
-        poll(&readable, 1, waitMs);
+        poll(&readable, 1, maxPollMs);
         m_ring.drain([this](answer_item &&item) { std::visit(item_handler {*this}, item); });
     }
     m_ring.drain([this](answer_item &&item) { std::visit(item_handler {*this}, item); });
--- a/programs/chivelockd/answer_writer.h
+++ b/programs/chivelockd/answer_writer.h
@@ -14,7 +14,8 @@
 class caller_http;
 class decision_service;
 
-/** Writes answers and pages to callers, counts them, and logs one line for each lookup. */
+/** Sends answers and pages to callers, records the metrics of lookups, and logs one line for each lookup if
+ *  daemon_settings::logAnswers is set. */
 class answer_writer : public kernel_service
 {
 public:
@@ -47,7 +48,7 @@
     lookup_metrics m_metrics;
     caller_http *m_http = nullptr;
     decision_service *m_decision = nullptr;
-    std::atomic<bool> m_end = false;
+    std::atomic<bool> m_stopThread = false;
     std::thread m_thread;
 };
 
--- a/programs/chivelockd/caller_http.cpp
+++ b/programs/chivelockd/caller_http.cpp
@@ -17,7 +17,7 @@
 namespace http = Pistache::Http;
 
 constexpr std::string_view lookupPrefix = "/v1/lookups/";
-constexpr millis fullAdvice {100};
+constexpr millis refusalRetryAfter {100};
 
 constexpr std::string_view lookupSchema = R"({
   "type": "object", "additionalProperties": false,
@@ -31,8 +31,8 @@
   }
 })";
 
-/** Names a lookup whose caller gave no id; unique within this process. */
-std::string madeUpRequestId(const daemon_settings &settings)
+/** Generates an id, unique within this process, for a lookup whose caller gave none. */
+std::string generateRequestId(const daemon_settings &settings)
 {
     static std::atomic<std::uint64_t> count = 0;
     return "vm" + std::to_string(settings.vm.value) + "-" + std::to_string(settings.entry.incarnation) + "-"
@@ -51,7 +51,7 @@
 
     void onRequest(const http::Request &request, http::ResponseWriter response) override
     {
-        m_service->handle(request, std::move(response));
+        m_service->handleRequest(request, std::move(response));
     }
 
 private:
@@ -99,35 +99,35 @@
     m_endpoint->shutdown();
 }
 
-void caller_http::refuseNew()
+void caller_http::refuseNewAndDrain()
 {
-    constexpr int rounds = 100;
-    constexpr std::chrono::milliseconds round(10);
-    m_refusing = true;
-    for (int done = 0; done < rounds; ++done) {
+    constexpr int maxPolls = 100;
+    constexpr std::chrono::milliseconds pollInterval(10);
+    m_refusingNew = true;
+    for (int polls = 0; polls < maxPolls; ++polls) {
         {
             const std::lock_guard lock(m_mutex);
             if (m_waiting.empty()) {
                 break;
             }
         }
-        std::this_thread::sleep_for(round);
+        std::this_thread::sleep_for(pollInterval);
     }
-    // The replies written last are still in the HTTP threads' queues.
-    constexpr std::chrono::milliseconds writeOut(100);
-    std::this_thread::sleep_for(writeOut);
+    // The last replies may still be in the queues of the HTTP threads; this delay lets them be sent.
+    constexpr std::chrono::milliseconds flushDelay(100);
+    std::this_thread::sleep_for(flushDelay);
 }
 
-std::optional<waiting_caller> caller_http::take(caller_id caller)
+std::optional<waiting_caller> caller_http::removeWaiting(caller_id caller)
 {
     const std::lock_guard lock(m_mutex);
     const auto found = m_waiting.find(caller);
     if (found == m_waiting.end()) {
         return std::nullopt;
     }
-    waiting_caller taken = std::move(found->second);
+    waiting_caller removed = std::move(found->second);
     m_waiting.erase(found);
-    return taken;
+    return removed;
 }
 
 void caller_http::send(const waiting_caller &caller, const http_reply &reply)
@@ -136,7 +136,7 @@
     try {
         http::ResponseWriter &response = *caller.response;
         if (reply.retryAfter > millis()) {
-            // The header counts whole seconds; the body and the second header say it exactly.
+            // Retry-After is in whole seconds; X-Retry-After-Ms and the body carry the time in milliseconds.
             const auto seconds =
                 static_cast<std::int64_t>((reply.retryAfter.count() + millisPerSecond - 1) / millisPerSecond);
             response.headers().addRaw(
@@ -153,7 +153,7 @@
     }
 }
 
-void caller_http::handle(const http::Request &request, http::ResponseWriter response)
+void caller_http::handleRequest(const http::Request &request, http::ResponseWriter response)
 {
     const waiting_caller caller {std::make_shared<http::ResponseWriter>(std::move(response))};
     const std::string &resource = request.resource();
@@ -186,82 +186,84 @@
 
 void caller_http::handleLookup(const http::Request &request, const std::string &kind, const waiting_caller &caller)
 {
-    const millis arrived = m_clock.now();
+    const millis receivedAt = m_clock.now();
     const std::string &text = request.body();
     const auto document = parseChecked(text.empty() ? "{}" : text, lookupSchema);
     if (!document) {
         sendError(caller, http::Code::Bad_Request, toString(document.error()));
         return;
     }
-    constexpr double longestLimitMs = 60000;
+    constexpr double maxTimeLimitMs = 60000;
     lookup_request lookup;
     lookup.kind = {kind};
-    lookup.requestId =
-        document->contains("request_id") ? document->at("request_id").get<std::string>() : madeUpRequestId(m_settings);
+    lookup.requestId = document->contains("request_id") ? document->at("request_id").get<std::string>()
+                                                        : generateRequestId(m_settings);
     lookup.shardKey = document->value("key", "");
     lookup.ticket = document->value("ticket", "");
     lookup.cameBack = document->value("came_back", false);
-    lookup.remaining = millis(document->value("time_limit_ms", longestLimitMs));
+    lookup.remaining = millis(document->value("time_limit_ms", maxTimeLimitMs));
     lookup.body = document->value("query", nlohmann::json()).dump();
     const std::string requestId = lookup.requestId;
     const bool hasTicket = !lookup.ticket.empty();
-    if (m_refusing) {
-        refuse(caller, requestId, kind, hasTicket, answer_reason::Stopping);
+    if (m_refusingNew) {
+        sendRefusal(caller, requestId, kind, hasTicket, answer_reason::Stopping);
         return;
     }
-    const std::optional<caller_id> id = keep(caller);
+    const std::optional<caller_id> id = addWaiting(caller);
     if (!id) {
-        refuse(caller, requestId, kind, hasTicket, answer_reason::RingFull);
+        sendRefusal(caller, requestId, kind, hasTicket, answer_reason::RingFull);
         return;
     }
     lookup.caller = *id;
-    if (!m_decision->offer(lookup_arrived {std::move(lookup), arrived})) {
-        if (take(*id)) {
-            refuse(caller, requestId, kind, hasTicket, answer_reason::RingFull);
+    if (!m_decision->offer(lookup_received {std::move(lookup), receivedAt})) {
+        if (removeWaiting(*id)) {
+            sendRefusal(caller, requestId, kind, hasTicket, answer_reason::RingFull);
         }
     }
 }
 
 void caller_http::handleReport(report_kind kind, const waiting_caller &caller)
 {
-    const std::optional<caller_id> id = keep(caller);
-    if (!id || !m_decision->offer(report_wanted {*id, kind})) {
-        if (!id || take(*id)) {
+    const std::optional<caller_id> id = addWaiting(caller);
+    if (!id || !m_decision->offer(report_requested {*id, kind})) {
+        if (!id || removeWaiting(*id)) {
             send(caller,
                  {static_cast<std::uint16_t>(http::Code::Service_Unavailable),
                   "application/json",
                   R"({"reason":"ring_full"})",
-                  fullAdvice,
+                  refusalRetryAfter,
                   false});
         }
     }
 }
 
-std::optional<caller_id> caller_http::keep(const waiting_caller &caller)
+std::optional<caller_id> caller_http::addWaiting(const waiting_caller &caller)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_waiting.size() >= maxWaiting) {
+    if (m_waiting.size() >= maxWaitingCallers) {
         return std::nullopt;
     }
-    const caller_id id = m_next++;
+    const caller_id id = m_nextCaller++;
     m_waiting.emplace(id, caller);
     return id;
 }
 
-void caller_http::refuse(const waiting_caller &caller,
-                         const std::string &requestId,
-                         const std::string &kind,
-                         bool hasTicket,
-                         answer_reason reason) const
+void caller_http::sendRefusal(const waiting_caller &caller,
+                              const std::string &requestId,
+                              const std::string &kind,
+                              bool hasTicket,
+                              answer_reason reason) const
 {
-    // Nothing was handed on; without a ticket, "not run" is true.
+    // The request was not passed on, so without a ticket it certainly did not run. With a ticket, an earlier attempt
+    // may have run.
     lookup_answer answer;
     answer.requestId = requestId;
     answer.kind = {kind};
     answer.outcome = outcomeOfRefusal(hasTicket);
     answer.reason = reason;
-    answer.retryAfter = fullAdvice;
-    send(caller, {httpStatusOf(answer), "application/json", writeAnswer(answer), fullAdvice, m_decision->isStopping()});
+    answer.retryAfter = refusalRetryAfter;
+    send(caller,
+         {httpStatusOf(answer), "application/json", writeAnswer(answer), refusalRetryAfter, m_decision->isStopping()});
 }
 
 } // namespace chivelock
--- a/programs/chivelockd/decision_service.cpp
+++ b/programs/chivelockd/decision_service.cpp
@@ -34,27 +34,27 @@
 
 void decision_service::stop()
 {
-    m_end = true;
+    m_stopThread = true;
     m_thread.join();
 }
 
-/** Hands each event to the core. */
+/** Passes each event to the core. */
 struct decision_service::event_handler {
     decision_service &service;
     millis now;
 
-    void operator()(lookup_arrived &event) const
+    void operator()(lookup_received &event) const
     {
-        event.request.remaining = event.request.remaining - (now - event.at);
+        event.request.remaining = event.request.remaining - (now - event.receivedAt);
         service.m_core.onLookup(event.request, now, service.m_actions);
     }
 
-    void operator()(const peer_arrived &event) const
+    void operator()(const peer_message_received &event) const
     {
         service.m_core.onPeer(event.envelope, now, service.m_actions);
     }
 
-    void operator()(const peer_lost &event) const
+    void operator()(const peer_unreachable &event) const
     {
         service.m_core.onPeerUnreachable(event.vm, now, service.m_actions);
     }
@@ -71,7 +71,7 @@
 
     void operator()(const document_read &event) const
     {
-        switch (event.which) {
+        switch (event.document) {
         case platform_document::Catalogue:
             service.m_core.onCatalogueText(event.text, now, service.m_actions);
             break;
@@ -85,12 +85,12 @@
         }
     }
 
-    void operator()(const report_wanted &event) const
+    void operator()(const report_requested &event) const
     {
-        service.report(event, now);
+        service.sendReport(event, now);
     }
 
-    void operator()(const stop_wanted & /*event*/) const
+    void operator()(const stop_requested & /*event*/) const
     {
         logEvent(log_level::Info, "stop_began", {});
         service.m_stopping = true;
@@ -98,22 +98,23 @@
     }
 };
 
-/** Hands each action to the thread whose duty it is. */
+/** Passes each action to the service that executes it. */
 struct decision_service::action_handler {
     decision_service &service;
 
     void operator()(caller_answer &action) const
     {
-        // The ring holds more than the callers that can be waiting, so an answer is never without room.
-        require(service.m_answers->offer(std::move(action)), "the answer ring holds every waiting caller");
+        // The ring's capacity exceeds the maximum number of waiting callers, so the ring is never full.
+        require(service.m_answers->offer(std::move(action)), "the answer ring has room for every waiting caller");
     }
 
     void operator()(peer_send &action) const
     {
         const vm_id to = action.to;
         if (!service.m_peers->offer(std::move(action))) {
-            // The message is lost as if the peer could not be reached; the core must hear it, or it waits in vain.
-            (void)service.offer(peer_lost {to});
+            // The message is dropped. The peer is reported as unreachable, because the core would otherwise wait for a
+            // reply that cannot come.
+            (void)service.offer(peer_unreachable {to});
         }
     }
 
@@ -131,20 +132,21 @@
 
     void operator()(const leaf_cancel &action) const
     {
-        // Lost in a full ring, the request only runs on at the leaf; its reply is dropped.
+        // If the ring is full, the cancel is dropped: the request keeps running at the leaf, and its reply is ignored.
         (void)service.m_leafs->offer(leaf_cancel_command {action});
     }
 
     void operator()(const leaf_probe &action) const
     {
         if (const std::optional<leaf_endpoint> endpoint = service.endpointOf(action.leaf)) {
-            (void)service.m_leafs->offer(leaf_probe_command {action, *endpoint}); // A lost probe is sent again.
+            // If the ring is full, the probe is dropped; the core sends another one later.
+            (void)service.m_leafs->offer(leaf_probe_command {action, *endpoint});
         }
     }
 
     void operator()(const topology_wanted & /*action*/) const
     {
-        service.m_platform->hurry();
+        service.m_platform->retryNow();
     }
 
     void operator()(const publication_noted &action) const
@@ -157,23 +159,23 @@
 
     void operator()(const stop_finished & /*action*/) const
     {
-        (void)service.m_finished.push(finished_mark {});
+        (void)service.m_finished.push(finished_signal {});
     }
 };
 
 void decision_service::run()
 {
-    while (!m_end) {
+    while (!m_stopThread) {
         waitForEvents();
         m_ring.drain([this](decision_event &&event) {
             const millis now = m_clock.now();
-            std::visit([&](auto &held) { event_handler {*this, now}(held); }, event);
-            carryOut();
+            std::visit([&](auto &alternative) { event_handler {*this, now}(alternative); }, event);
+            executeActions();
         });
         const millis now = m_clock.now();
         if (m_core.nextWake() <= now) {
             m_core.tick(now, m_actions);
-            carryOut();
+            executeActions();
         }
     }
 }
@@ -189,9 +191,10 @@
     ppoll(&readable, 1, &timeout, nullptr);
 }
 
-void decision_service::carryOut()
+void decision_service::executeActions()
 {
-    // Carrying out may itself give the core events (a refused call), which add actions.
+    // Executing an action can pass an event back to the core, such as a call that could not be sent. The core may then
+    // add actions, so the loop runs until there are none left.
     while (!m_actions.empty()) {
         entry_core::actions pending = std::exchange(m_actions, {});
         for (entry_action &action : pending) {
@@ -200,14 +203,14 @@
     }
 }
 
-void decision_service::report(const report_wanted &wanted, millis now)
+void decision_service::sendReport(const report_requested &request, millis now)
 {
-    if (wanted.kind == report_kind::Metrics) {
+    if (request.kind == report_kind::Metrics) {
         (void)m_answers->offer(
-            metrics_page {wanted.caller, m_core.runnerCounters(), m_core.rootCounters(), m_core.status(now)});
+            metrics_page {request.caller, m_core.runnerCounters(), m_core.rootCounters(), m_core.status(now)});
         return;
     }
-    (void)m_answers->offer(writeReport(wanted, m_core, now));
+    (void)m_answers->offer(writeReport(request, m_core, now));
 }
 
 std::optional<leaf_endpoint> decision_service::endpointOf(leaf_id leaf) const
--- a/programs/chivelockd/decision_service.h
+++ b/programs/chivelockd/decision_service.h
@@ -16,8 +16,9 @@
 class platform_watch;
 
 /**
- * The one thread that decides. It owns the decision core; everything else hands it events and carries out its actions.
- * It never waits for another thread: where a ring is full, the stated refusal is given instead.
+ * Runs the decision core on a thread of its own. The other services send it events through a ring and execute the
+ * core's actions. This thread never waits for another one: if the ring of a service is full, the action fails in the
+ * way that its handler in decision_service.cpp states.
  */
 class decision_service : public kernel_service
 {
@@ -35,19 +36,19 @@
     [[nodiscard]] tl::expected<void, kernel_error> start() override;
     void stop() override;
 
-    /** Called by other threads. @return false if the ring is full. */
+    /** Queues an event; callable from any thread. @return false if the ring is full. */
     [[nodiscard]] bool offer(decision_event &&event)
     {
         return m_ring.push(std::move(event));
     }
 
-    /** Whether a planned stop has begun: answers then ask callers to close their connections. */
+    /** Whether a planned stop has begun. Answers then ask callers to close their connections. */
     [[nodiscard]] bool isStopping() const
     {
         return m_stopping;
     }
 
-    /** Readable once the core has finished its planned stop. */
+    /** File descriptor that becomes readable when the core has finished its planned stop. */
     [[nodiscard]] int finishedFd() const
     {
         return m_finished.wakeFd();
@@ -56,18 +57,18 @@
 private:
     struct event_handler;
     struct action_handler;
-    struct finished_mark {
+    struct finished_signal {
     };
 
     void run();
     void waitForEvents() const;
-    void carryOut();
-    void report(const report_wanted &wanted, millis now);
+    void executeActions();
+    void sendReport(const report_requested &request, millis now);
     [[nodiscard]] std::optional<leaf_endpoint> endpointOf(leaf_id leaf) const;
 
     steady_clock m_clock;
     bounded_ring<decision_event> m_ring;
-    bounded_ring<finished_mark> m_finished {8};
+    bounded_ring<finished_signal> m_finished {8};
     entry_core m_core;
     entry_core::actions m_actions;
     answer_writer *m_answers = nullptr;
@@ -75,7 +76,7 @@
     peer_link *m_peers = nullptr;
     platform_watch *m_platform = nullptr;
     std::atomic<bool> m_stopping = false;
-    std::atomic<bool> m_end = false;
+    std::atomic<bool> m_stopThread = false;
     std::thread m_thread;
 };
 
--- a/programs/chivelockd/events.h
+++ b/programs/chivelockd/events.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * What the threads of the daemon hand each other through bounded rings.
+ * Events, commands and replies that the threads of the daemon exchange through bounded rings.
  */
 
 #include <base/base.h>
@@ -14,36 +14,36 @@
 
 namespace chivelock {
 
-/** A caller's lookup came in. */
-struct lookup_arrived {
+/** A lookup request from a caller was received. */
+struct lookup_received {
     lookup_request request;
-    millis at; ///< the caller's time counts from here, not from when the decision thread reads it
+    millis receivedAt; ///< the caller's time limit starts here, not when the decision thread reads the event
 };
 
-/** A message of a peer came in. */
-struct peer_arrived {
+/** A message from a peer was received. */
+struct peer_message_received {
     peer_envelope envelope;
 };
 
-/** A peer can't be reached. */
-struct peer_lost {
+/** A peer could not be reached, or a message to it could not be queued. */
+struct peer_unreachable {
     vm_id vm;
 };
 
-/** What the platform publishes. */
+/** Documents published by the platform. */
 enum class platform_document : std::uint8_t {
     Catalogue,
     Topology,
     VmList
 };
 
-/** A document was read. */
+/** A document was read from the platform. */
 struct document_read {
-    platform_document which;
+    platform_document document;
     std::string text;
 };
 
-/** Pages about the process itself. */
+/** Kinds of pages that describe the process itself. */
 enum class report_kind : std::uint8_t {
     Ready,
     Status,
@@ -51,26 +51,26 @@
     Metrics
 };
 
-/** An operator or the balancer asks for a page. */
-struct report_wanted {
+/** An operator or the load balancer requested a page. */
+struct report_requested {
     caller_id caller;
     report_kind kind;
 };
 
-/** The process was asked to end. */
-struct stop_wanted {
+/** The process was asked to stop. */
+struct stop_requested {
 };
 
-using decision_event = std::variant<lookup_arrived,
-                                    peer_arrived,
-                                    peer_lost,
+using decision_event = std::variant<lookup_received,
+                                    peer_message_received,
+                                    peer_unreachable,
                                     leaf_reply,
                                     health_report,
                                     document_read,
-                                    report_wanted,
-                                    stop_wanted>;
+                                    report_requested,
+                                    stop_requested>;
 
-/** Where a leaf listens. */
+/** Address and port on which a leaf listens. */
 struct leaf_endpoint {
     std::string address;
     std::uint16_t port = 0;
@@ -92,14 +92,14 @@
 
 using leaf_command = std::variant<leaf_call_command, leaf_cancel_command, leaf_probe_command>;
 
-/** The VM list changed: who may connect, and where peers listen. */
+/** The VM list changed. It determines which addresses may connect and where the peers listen. */
 struct peers_changed {
     std::vector<vm_info> vms;
 };
 
 using peer_command = std::variant<peer_send, peers_changed>;
 
-/** A page for an operator or the balancer. */
+/** A page for an operator or the load balancer. */
 struct report_page {
     caller_id caller = 0;
     std::uint16_t status = 0;
@@ -107,7 +107,7 @@
     std::string body;
 };
 
-/** Counts of one moment, for the page of metrics, which the answer thread completes with its histograms. */
+/** Counters for the metrics page, read at one point in time. The answer thread adds its histograms to the page. */
 struct metrics_page {
     caller_id caller = 0;
     runner_counters runner;
--- a/programs/chivelockd/leaf_client.h
+++ b/programs/chivelockd/leaf_client.h
@@ -17,7 +17,8 @@
 
 class decision_service;
 
-/** Speaks HTTP (libcurl) with the leafs: searches, cancels, health. Every search it takes gets exactly one end. */
+/** HTTP client (libcurl) for the leafs: sends searches, cancels and health checks. Reports exactly one result to the
+ *  decision thread for each accepted search. */
 class leaf_client : public kernel_service
 {
 public:
@@ -40,15 +41,15 @@
     }
 
 private:
-    enum class purpose : std::uint8_t {
+    enum class transfer_kind : std::uint8_t {
         Search,
         Cancel,
         Probe
     };
 
-    /** One HTTP exchange. */
+    /** One HTTP request and its response. */
     struct transfer {
-        purpose what = purpose::Search;
+        transfer_kind kind = transfer_kind::Search;
         CURL *handle = nullptr;
         leaf_call call;
         leaf_endpoint endpoint;
@@ -61,18 +62,18 @@
     struct command_handler;
 
     void run();
-    void beginSearch(leaf_call call, const leaf_endpoint &endpoint);
-    void beginCancel(const leaf_cancel &cancel);
-    void beginProbe(const leaf_probe &probe, const leaf_endpoint &endpoint);
-    transfer &prepare(purpose what, const leaf_endpoint &endpoint, std::string_view path);
-    void launch(transfer &started, millis timeout);
-    void finish(CURL *handle, CURLcode result);
+    void startSearch(leaf_call call, const leaf_endpoint &endpoint);
+    void startCancel(const leaf_cancel &cancel);
+    void startProbe(const leaf_probe &probe, const leaf_endpoint &endpoint);
+    transfer &createTransfer(transfer_kind kind, const leaf_endpoint &endpoint, std::string_view path);
+    void startTransfer(transfer &request, millis timeout);
+    void finishTransfer(CURL *handle, CURLcode result);
     void finishSearch(const transfer &ended, CURLcode result, long status);
     void finishProbe(const transfer &ended, CURLcode result, long status);
-    void refuseUnsent(const leaf_call &call);
-    void tell(decision_event &&event);
-    [[nodiscard]] std::string callName(call_id id) const;
-    CURL *takeHandle();
+    void reportNotSent(const leaf_call &call);
+    void notifyDecision(decision_event &&event);
+    [[nodiscard]] std::string leafRequestName(call_id id) const;
+    CURL *acquireHandle();
 
     const daemon_settings &m_settings;
     steady_clock m_clock;
@@ -81,10 +82,10 @@
     CURLM *m_multi = nullptr;
     curl_slist *m_headers = nullptr;
     std::unordered_map<CURL *, std::unique_ptr<transfer>> m_transfers;
-    std::unordered_map<call_id, leaf_endpoint> m_openSearches; ///< where a cancel must go
+    std::unordered_map<call_id, leaf_endpoint> m_openSearches; ///< the leaf to which a cancel of the search is sent
     std::vector<CURL *> m_idleHandles;
-    std::vector<decision_event> m_untold; ///< ends that found the decision ring full; told before anything else
-    std::atomic<bool> m_end = false;
+    std::vector<decision_event> m_undelivered; ///< rejected by the full decision ring; offered again in the next round
+    std::atomic<bool> m_stopThread = false;
     std::thread m_thread;
 };
 
--- a/programs/chivelockd/leaf_protocol.cpp
+++ b/programs/chivelockd/leaf_protocol.cpp
@@ -11,13 +11,13 @@
 using nlohmann::json;
 
 constexpr long okStatus = 200;
-constexpr long conflictStatus = 409; ///< the snapshot or map version is not held
-constexpr long goneStatus = 410; ///< the leaf leaves
+constexpr long conflictStatus = 409; ///< the leaf does not hold the snapshot or map version
+constexpr long goneStatus = 410; ///< the leaf is leaving
 constexpr long tooManyStatus = 429;
 constexpr long cancelledStatus = 499;
-constexpr long unavailableStatus = 503; ///< refused before it was started
+constexpr long unavailableStatus = 503; ///< the leaf refused the request before starting it
 
-call_status statusFrom(long status)
+call_status callStatusOf(long status)
 {
     switch (status) {
     case okStatus:
@@ -36,29 +36,29 @@
     }
 }
 
-result_row rowFrom(const json &row)
+result_row parseRow(const json &row)
 {
     return {row.at("id").get<std::string>(),
             row.at("score").get<double>(),
             row.contains("data") ? row.at("data").dump() : "null"};
 }
 
-std::uint32_t numberOf(const json &document, const char *key)
+std::uint32_t numberField(const json &document, const char *key)
 {
     return document.value(key, std::uint32_t {0});
 }
 
 void readFields(const json &document, leaf_reply &reply)
 {
-    reply.shard = {numberOf(document, "shard")};
-    reply.snapshot = {numberOf(document, "snapshot")};
-    reply.version = {numberOf(document, "map_version")};
-    reply.heldSnapshot = {numberOf(document, "held_snapshot")};
+    reply.shard = {numberField(document, "shard")};
+    reply.snapshot = {numberField(document, "snapshot")};
+    reply.version = {numberField(document, "map_version")};
+    reply.heldSnapshot = {numberField(document, "held_snapshot")};
     reply.incarnation = document.value("incarnation", std::uint64_t {0});
     reply.saysLeaving = document.value("leaving", false);
     reply.retryAfter = millis(document.value("retry_after_ms", 0.0));
     if (reply.status == call_status::Ok) {
-        std::ranges::transform(document.at("rows"), std::back_inserter(reply.rows), rowFrom);
+        std::ranges::transform(document.at("rows"), std::back_inserter(reply.rows), parseRow);
     }
 }
 
@@ -66,7 +66,7 @@
 
 std::string searchBody(const leaf_call &call, std::string_view name, millis remaining)
 {
-    // The query is JSON text already checked at the door; it is put in as it is rather than parsed once more.
+    // The query was validated as JSON when the caller's request was received, so its text is inserted unparsed.
     std::string body = R"({"request":")";
     body.append(name);
     body += R"(","request_id":")" + call.requestId + R"(","service":")" + call.service.value;
@@ -85,7 +85,7 @@
     leaf_reply reply;
     reply.id = call.id;
     reply.shard = call.shard;
-    reply.status = statusFrom(status);
+    reply.status = callStatusOf(status);
     try {
         const json document = json::parse(body, nullptr, false);
         if (document.is_object()) {
--- a/programs/chivelockd/main.cpp
+++ b/programs/chivelockd/main.cpp
@@ -1,6 +1,6 @@
 /**
  * @file
- * chivelockd: one process of the query tier. Reads its settings, starts the services, ends on SIGTERM.
+ * chivelockd: a process of the query tier. Reads its settings, starts its services and runs until SIGTERM or SIGINT.
  */
 
 #include "answer_writer.h"
@@ -59,7 +59,7 @@
     line.setExceptionHandling(false);
     line.parse(argc, argv);
     if (!settings.isSet() && !gateway.getValue()) {
-        throw TCLAP::CmdLineParseException("a settings file is needed", "--settings");
+        throw TCLAP::CmdLineParseException("a settings file is required", "--settings");
     }
     return {settings.getValue(), check.getValue(), gateway.getValue()};
 }
@@ -69,14 +69,15 @@
     return readFile(path).and_then([](const std::string &text) { return readSettings(text).map_error(problemLines); });
 }
 
-/** Fresh for each start; the wall clock makes it rise over restarts of the same VM. */
-std::uint64_t newIncarnation()
+/** @return a number that is new for each start and, taken from the wall clock, increases over restarts of the VM. */
+std::uint64_t makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count());
 }
 
-bool fillSecrets(entry_settings &entry)
+/** Sets the ticket key, the random seed and the incarnation. @return false if no random bytes are available. */
+bool initializeIdentity(entry_settings &entry)
 {
     constexpr std::size_t keyBytes = 32;
     std::array<unsigned char, keyBytes> key {};
@@ -85,12 +86,13 @@
         return false;
     }
     entry.ticketKey.assign(key.begin(), key.end());
-    entry.incarnation = newIncarnation();
+    entry.incarnation = makeIncarnation();
     return true;
 }
 
-/** Blocks the signals before any thread starts, so that all of them reach this descriptor only. */
-int openSignals()
+/** Blocks SIGTERM, SIGINT and SIGHUP, so that they are received only through the returned descriptor. Must run before
+ *  any thread starts, because threads inherit the signal mask. */
+int openSignalFd()
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -102,8 +104,8 @@
     return signalfd(-1, &signals, SFD_CLOEXEC);
 }
 
-/** A hang-up asks for nothing here: these settings are read once. */
-void awaitStopSignal(int signals)
+/** Waits for SIGTERM or SIGINT. SIGHUP is ignored, because these settings are read only at the start. */
+void waitForStopSignal(int signals)
 {
     signalfd_siginfo info {};
     do {
@@ -112,7 +114,7 @@
     } while (info.ssi_signo != SIGTERM && info.ssi_signo != SIGINT);
 }
 
-void awaitReadable(int fd)
+void waitUntilReadable(int fd)
 {
     pollfd readable {fd, POLLIN, 0};
     while (poll(&readable, 1, -1) < 1) { }
@@ -121,7 +123,7 @@
 int serve(const daemon_settings &settings, int signals)
 {
     kernel services;
-    // Stopped in reverse: the door to callers closes last, when every answer has been written.
+    // Services stop in reverse order: caller_http stops last, after every answer has been written.
     services.add(std::make_unique<caller_http>(settings));
     services.add(std::make_unique<answer_writer>(settings));
     services.add(std::make_unique<leaf_client>(settings));
@@ -136,37 +138,37 @@
              "started",
              {{"vm", std::uint64_t {settings.vm.value}}, {"incarnation", settings.entry.incarnation}});
     auto &decision = services.find<decision_service>(decision_service::serviceName);
-    awaitStopSignal(signals);
-    while (!decision.offer(stop_wanted {})) {
+    waitForStopSignal(signals);
+    while (!decision.offer(stop_requested {})) {
         poll(nullptr, 0, 1);
     }
-    awaitReadable(decision.finishedFd());
-    services.find<caller_http>(caller_http::serviceName).refuseNew();
+    waitUntilReadable(decision.finishedFd());
+    services.find<caller_http>(caller_http::serviceName).refuseNewAndDrain();
     services.stop();
     logEvent(log_level::Info, "ended", {});
     return exitOk;
 }
 
-/** The platform names the settings file in the environment. */
-std::string gatewaySettingsPath(const options &chosen)
+/** @return the path given by --settings, otherwise the one in the environment variable that the platform sets. */
+std::string gatewaySettingsPath(const options &commandLine)
 {
     const char *named = std::getenv(platform::settingsVariable);
-    return chosen.settingsPath.empty() && named != nullptr ? named : chosen.settingsPath;
+    return commandLine.settingsPath.empty() && named != nullptr ? named : commandLine.settingsPath;
 }
 
-int runGateway(const options &chosen)
+int runGateway(const options &commandLine)
 {
-    const std::string path = gatewaySettingsPath(chosen);
+    const std::string path = gatewaySettingsPath(commandLine);
     const auto settings = loadGatewaySettings(path);
     if (!settings) {
         std::cerr << settings.error() << '\n';
         return exitBadSettings;
     }
-    if (chosen.checkOnly) {
+    if (commandLine.checkOnly) {
         std::cout << "settings are valid\n";
         return exitOk;
     }
-    const int signals = openSignals();
+    const int signals = openSignalFd();
     startLogging(settings->log);
     return serveGateway(*settings, path, signals);
 }
@@ -175,32 +177,32 @@
 
 int main(int argc, char **argv)
 {
-    options chosen;
+    options commandLine;
     try {
-        chosen = readOptions(argc, argv);
-    } catch (const TCLAP::ExitException &wanted) {
-        return wanted.getExitStatus();
+        commandLine = readOptions(argc, argv);
+    } catch (const TCLAP::ExitException &exitRequest) {
+        return exitRequest.getExitStatus();
     } catch (const TCLAP::ArgException &problem) {
         std::cerr << "chivelockd: " << problem.error() << " " << problem.argId() << "; see --help\n";
         return exitBadSettings;
     }
-    if (chosen.gateway) {
-        return runGateway(chosen);
+    if (commandLine.gateway) {
+        return runGateway(commandLine);
     }
-    auto settings = loadSettings(chosen.settingsPath);
+    auto settings = loadSettings(commandLine.settingsPath);
     if (!settings) {
         std::cerr << settings.error();
         return exitBadSettings;
     }
-    if (chosen.checkOnly) {
+    if (commandLine.checkOnly) {
         std::cout << "settings are valid\n";
         return exitOk;
     }
-    if (!fillSecrets(settings->entry)) {
-        std::cerr << "no random numbers to be had\n";
+    if (!initializeIdentity(settings->entry)) {
+        std::cerr << "chivelockd: OpenSSL returned no random bytes for the ticket key and the seed; exiting\n";
         return exitFailed;
     }
-    const int signals = openSignals();
+    const int signals = openSignalFd();
     curl_global_init(CURL_GLOBAL_DEFAULT);
     startLogging(settings->log);
     const int code = serve(*settings, signals);
--- a/programs/chivelockd/peer_link.cpp
+++ b/programs/chivelockd/peer_link.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 65536;
+constexpr std::size_t readBufferBytes = 65536;
 constexpr std::size_t maxUnsentBytes = 8U << 20U;
-constexpr millis connectLimit {500};
-constexpr millis redialPause {100};
+constexpr millis connectTimeout {500};
+constexpr millis reconnectDelay {100};
 
 } // namespace
 
-/** One connection of another process to this one. */
-class peer_link::incoming : public std::enable_shared_from_this<incoming>
+/** A connection that another process opened to this one. */
+class peer_link::incoming_connection : public std::enable_shared_from_this<incoming_connection>
 {
 public:
-    incoming(peer_link &link, tcp::socket socket, const asio::ip::address &from)
+    incoming_connection(peer_link &link, tcp::socket socket, const asio::ip::address &from)
         : m_link(link)
         , m_socket(std::move(socket))
         , m_from(from)
@@ -34,36 +34,36 @@
 
     void read()
     {
-        m_socket.async_read_some(asio::buffer(m_bytes),
+        m_socket.async_read_some(asio::buffer(m_readBuffer),
                                  [self = shared_from_this()](error_code error, std::size_t count) {
-                                     if (!error && self->take(count)) {
+                                     if (!error && self->processBytes(count)) {
                                          self->read();
                                      }
                                  });
     }
 
 private:
-    /** @return false if the connection must be dropped. */
-    bool take(std::size_t count)
+    /** Decodes complete frames from the read buffer. @return false if the connection must be closed. */
+    bool processBytes(std::size_t count)
     {
-        m_reader.append(std::span(m_bytes).first(count));
+        m_reader.append(std::span(m_readBuffer).first(count));
         while (true) {
             const auto payload = m_reader.next();
             if (!payload) {
-                return refuse(payload.error());
+                return rejectFrame(payload.error());
             }
             if (!*payload) {
                 return true;
             }
             auto envelope = decodePayload(**payload);
             if (!envelope) {
-                return refuse(envelope.error());
+                return rejectFrame(envelope.error());
             }
-            m_link.onFrame(m_from, *std::move(envelope));
+            m_link.onEnvelope(m_from, *std::move(envelope));
         }
     }
 
-    bool refuse(wire_error error)
+    bool rejectFrame(wire_error error)
     {
         logEvent(log_level::Warning,
                  "peer_frame_refused",
@@ -74,40 +74,40 @@
     peer_link &m_link;
     tcp::socket m_socket;
     asio::ip::address m_from;
-    std::array<std::uint8_t, readBytes> m_bytes {};
+    std::array<std::uint8_t, readBufferBytes> m_readBuffer {};
     frame_reader m_reader;
 };
 
-/** The connection of this process to one peer. */
-class peer_link::outgoing : public std::enable_shared_from_this<outgoing>
+/** The connection that this process opens to one peer. */
+class peer_link::outgoing_connection : public std::enable_shared_from_this<outgoing_connection>
 {
 public:
-    outgoing(peer_link &link, vm_info peer)
+    outgoing_connection(peer_link &link, vm_info peer)
         : m_link(link)
         , m_peer(std::move(peer))
         , m_socket(link.m_context)
-        , m_limit(link.m_context)
+        , m_connectTimer(link.m_context)
     {
     }
 
-    [[nodiscard]] bool leadsTo(const vm_info &peer) const
+    [[nodiscard]] bool hasEndpointOf(const vm_info &peer) const
     {
         return m_peer.address == peer.address && m_peer.peerPort == peer.peerPort;
     }
 
     void send(const peer_message &message)
     {
-        if (m_state == state::Idle && m_link.m_clock.now() < m_redialAt) {
+        if (m_state == state::Idle && m_link.m_clock.now() < m_reconnectAt) {
             m_link.onUnreachable(m_peer.id);
             return;
         }
-        m_waiting += encodeFrame(m_link.m_settings.vm, message);
-        if (m_waiting.size() > maxUnsentBytes) {
-            drop(); // A peer that does not read would hold ever more memory.
+        m_unsent += encodeFrame(m_link.m_settings.vm, message);
+        if (m_unsent.size() > maxUnsentBytes) {
+            drop(); // Bounds the memory for a peer that does not read.
             return;
         }
         if (m_state == state::Idle) {
-            dial();
+            startConnect();
         } else if (m_state == state::Open && m_inFlight.empty()) {
             write();
         }
@@ -116,28 +116,28 @@
     void close()
     {
         error_code ignored;
-        m_limit.cancel(ignored);
+        m_connectTimer.cancel(ignored);
         m_socket.close(ignored);
     }
 
 private:
     enum class state : std::uint8_t {
         Idle,
-        Dialling,
+        Connecting,
         Open
     };
 
-    void dial()
+    void startConnect()
     {
         error_code error;
         m_socket = tcp::socket(m_link.m_context);
         m_socket.open(tcp::v4(), error);
-        // The peer takes frames by address, so the connection must come from the listed one.
+        // The peer checks the sender's address, so the connection must come from this VM's listed address.
         m_socket.bind({asio::ip::make_address(m_link.m_settings.listen.address, error), 0}, error);
-        m_state = state::Dialling;
-        m_limit.expires_after(std::chrono::milliseconds(connectLimit.ceiled()));
-        m_limit.async_wait([self = shared_from_this()](error_code ended) {
-            if (!ended && self->m_state == state::Dialling) {
+        m_state = state::Connecting;
+        m_connectTimer.expires_after(std::chrono::milliseconds(connectTimeout.ceiled()));
+        m_connectTimer.async_wait([self = shared_from_this()](error_code ended) {
+            if (!ended && self->m_state == state::Connecting) {
                 self->drop();
             }
         });
@@ -147,10 +147,10 @@
 
     void onConnected(error_code failed)
     {
-        if (m_state != state::Dialling) {
+        if (m_state != state::Connecting) {
             return;
         }
-        m_limit.cancel();
+        m_connectTimer.cancel();
         if (failed) {
             drop();
             return;
@@ -158,24 +158,25 @@
         error_code ignored;
         m_socket.set_option(tcp::no_delay(true), ignored);
         m_state = state::Open;
-        watchForEnd();
+        watchForClose();
         write();
     }
 
-    /** The peer never writes here; a read that ends tells at once that it is gone. */
-    void watchForEnd()
+    /** The peer never writes on this connection, so a completed read means that the connection has ended. */
+    void watchForClose()
     {
-        m_socket.async_read_some(asio::buffer(m_end), [self = shared_from_this()](error_code error, std::size_t) {
-            if (error != asio::error::operation_aborted && self->m_state == state::Open) {
-                self->drop();
-            }
-        });
+        m_socket.async_read_some(asio::buffer(m_closeBuffer),
+                                 [self = shared_from_this()](error_code error, std::size_t) {
+                                     if (error != asio::error::operation_aborted && self->m_state == state::Open) {
+                                         self->drop();
+                                     }
+                                 });
     }
 
     void write()
     {
-        m_inFlight.swap(m_waiting);
-        m_waiting.clear();
+        m_inFlight.swap(m_unsent);
+        m_unsent.clear();
         asio::async_write(m_socket,
                           asio::buffer(m_inFlight),
                           [self = shared_from_this()](error_code error, std::size_t) { self->onWritten(error); });
@@ -189,30 +190,31 @@
         m_inFlight.clear();
         if (error) {
             drop();
-        } else if (!m_waiting.empty()) {
+        } else if (!m_unsent.empty()) {
             write();
         }
     }
 
+    /** Closes the connection, discards unsent messages and reports the peer as unreachable. */
     void drop()
     {
         close();
         m_state = state::Idle;
-        m_waiting.clear();
+        m_unsent.clear();
         m_inFlight.clear();
-        m_redialAt = m_link.m_clock.now() + redialPause;
+        m_reconnectAt = m_link.m_clock.now() + reconnectDelay;
         m_link.onUnreachable(m_peer.id);
     }
 
     peer_link &m_link;
     vm_info m_peer;
     tcp::socket m_socket;
-    asio::steady_timer m_limit;
+    asio::steady_timer m_connectTimer;
     state m_state = state::Idle;
-    std::string m_waiting;
+    std::string m_unsent;
     std::string m_inFlight;
-    std::array<char, 1> m_end {};
-    millis m_redialAt;
+    std::array<char, 1> m_closeBuffer {};
+    millis m_reconnectAt;
 };
 
 peer_link::peer_link(const daemon_settings &settings)
@@ -246,10 +248,10 @@
         return tl::unexpected(kernel_error {std::string(serviceName), problem.what()});
     }
     for (const std::string &address : m_settings.extraPeerAddresses) {
-        m_allowed.insert(asio::ip::make_address(address));
+        m_allowedAddresses.insert(asio::ip::make_address(address));
     }
-    accept();
-    awaitCommands();
+    acceptNext();
+    waitForCommands();
     m_thread = std::thread([this] { m_context.run(); });
     return {};
 }
@@ -260,21 +262,21 @@
     m_thread.join();
 }
 
-void peer_link::awaitCommands()
+void peer_link::waitForCommands()
 {
     m_wake.async_wait(asio::posix::stream_descriptor::wait_read, [this](error_code error) {
         if (error) {
             return;
         }
-        m_ring.drain([this](peer_command &&command) { carryOut(std::move(command)); });
-        awaitCommands();
+        m_ring.drain([this](peer_command &&command) { execute(std::move(command)); });
+        waitForCommands();
     });
 }
 
-void peer_link::carryOut(peer_command &&command)
+void peer_link::execute(peer_command &&command)
 {
     if (const auto *changed = std::get_if<peers_changed>(&command)) {
-        takePeers(changed->vms);
+        updatePeers(changed->vms);
         return;
     }
     const auto &send = std::get<peer_send>(command);
@@ -286,12 +288,12 @@
     peer->second->send(send.message);
 }
 
-void peer_link::takePeers(const std::vector<vm_info> &vms)
+void peer_link::updatePeers(const std::vector<vm_info> &vms)
 {
     m_peers.clear();
-    m_allowed.clear();
+    m_allowedAddresses.clear();
     for (const std::string &address : m_settings.extraPeerAddresses) {
-        m_allowed.insert(asio::ip::make_address(address));
+        m_allowedAddresses.insert(asio::ip::make_address(address));
     }
     for (const vm_info &vm : vms) {
         error_code error;
@@ -300,68 +302,69 @@
             continue;
         }
         m_peers.emplace(vm.id, vm);
-        m_allowed.insert(address);
-        const auto known = m_outgoing.find(vm.id);
-        if (known == m_outgoing.end() || !known->second->leadsTo(vm)) {
-            m_outgoing.insert_or_assign(vm.id, std::make_shared<outgoing>(*this, vm));
+        m_allowedAddresses.insert(address);
+        const auto existing = m_outgoing.find(vm.id);
+        if (existing == m_outgoing.end() || !existing->second->hasEndpointOf(vm)) {
+            m_outgoing.insert_or_assign(vm.id, std::make_shared<outgoing_connection>(*this, vm));
         }
     }
     std::erase_if(m_outgoing, [this](const auto &item) {
-        const bool gone = !m_peers.contains(item.first);
-        if (gone) {
+        const bool removed = !m_peers.contains(item.first);
+        if (removed) {
             item.second->close();
         }
-        return gone;
+        return removed;
     });
 }
 
-void peer_link::accept()
+void peer_link::acceptNext()
 {
     m_acceptor.async_accept([this](error_code error, tcp::socket socket) {
         if (!error) {
             error_code failed;
             const asio::ip::address from = socket.remote_endpoint(failed).address();
-            if (!failed && mayConnect(from)) {
-                std::make_shared<incoming>(*this, std::move(socket), from)->read();
-            } else if (m_refusedLog.allow(m_clock.now())) {
+            if (!failed && isAllowedAddress(from)) {
+                std::make_shared<incoming_connection>(*this, std::move(socket), from)->read();
+            } else if (m_refusalLog.allow(m_clock.now())) {
                 logEvent(log_level::Warning,
                          "peer_refused",
-                         {{"from", from.to_string()}, {"lines_left_out", m_refusedLog.takeSuppressed()}});
+                         {{"from", from.to_string()}, {"lines_left_out", m_refusalLog.takeSuppressed()}});
             }
         }
-        accept();
+        acceptNext();
     });
 }
 
-bool peer_link::mayConnect(const asio::ip::address &address) const
+bool peer_link::isAllowedAddress(const asio::ip::address &address) const
 {
-    return m_allowed.contains(address);
+    return m_allowedAddresses.contains(address);
 }
 
-bool peer_link::mayClaim(vm_id vm, const asio::ip::address &address) const
+bool peer_link::isAddressOf(vm_id vm, const asio::ip::address &address) const
 {
     const auto peer = m_peers.find(vm);
     error_code error;
     return peer != m_peers.end() && asio::ip::make_address(peer->second.address, error) == address;
 }
 
-void peer_link::onFrame(const asio::ip::address &from, peer_envelope &&envelope)
+void peer_link::onEnvelope(const asio::ip::address &from, peer_envelope &&envelope)
 {
-    if (!mayClaim(envelope.from, from)) {
-        if (m_refusedLog.allow(m_clock.now())) {
+    if (!isAddressOf(envelope.from, from)) {
+        if (m_refusalLog.allow(m_clock.now())) {
             logEvent(log_level::Warning,
                      "peer_claim_refused",
                      {{"from", from.to_string()}, {"claimed_vm", std::uint64_t {envelope.from.value}}});
         }
         return;
     }
-    // A full ring drops the frame: the sender's timers treat it as a lost message, and this thread never waits.
-    (void)m_decision->offer(peer_arrived {std::move(envelope)});
+    // If the ring is full, the message is dropped, so that this thread never waits. The sender's timers treat it as
+    // lost.
+    (void)m_decision->offer(peer_message_received {std::move(envelope)});
 }
 
 void peer_link::onUnreachable(vm_id vm)
 {
-    (void)m_decision->offer(peer_lost {vm});
+    (void)m_decision->offer(peer_unreachable {vm});
 }
 
 } // namespace chivelock
--- a/programs/chivelockd/peer_link.h
+++ b/programs/chivelockd/peer_link.h
@@ -18,8 +18,10 @@
 class decision_service;
 
 /**
- * TCP to the other processes of the system: one connection out to each peer for sending, those of others in for
- * receiving. A frame is taken only from an address of the VM list or the settings.
+ * TCP connections to the other processes of the system. Messages to a peer are sent on one outgoing connection;
+ * messages from peers are received on the connections that they open. Connections are accepted only from addresses in
+ * the VM list or the settings, and a frame only if it comes from the listed address of the VM that it names as its
+ * sender.
  */
 class peer_link : public kernel_service
 {
@@ -45,16 +47,17 @@
 
 private:
     using tcp = boost::asio::ip::tcp;
-    class incoming;
-    class outgoing;
+    class incoming_connection;
+    class outgoing_connection;
 
-    void awaitCommands();
-    void carryOut(peer_command &&command);
-    void takePeers(const std::vector<vm_info> &vms);
-    void accept();
-    [[nodiscard]] bool mayConnect(const boost::asio::ip::address &address) const;
-    [[nodiscard]] bool mayClaim(vm_id vm, const boost::asio::ip::address &address) const;
-    void onFrame(const boost::asio::ip::address &from, peer_envelope &&envelope);
+    void waitForCommands();
+    void execute(peer_command &&command);
+    void updatePeers(const std::vector<vm_info> &vms);
+    void acceptNext();
+    [[nodiscard]] bool isAllowedAddress(const boost::asio::ip::address &address) const;
+    /** Whether the VM list gives @p address for @p vm. */
+    [[nodiscard]] bool isAddressOf(vm_id vm, const boost::asio::ip::address &address) const;
+    void onEnvelope(const boost::asio::ip::address &from, peer_envelope &&envelope);
     void onUnreachable(vm_id vm);
 
     const daemon_settings &m_settings;
@@ -65,9 +68,9 @@
     tcp::acceptor m_acceptor {m_context};
     boost::asio::posix::stream_descriptor m_wake {m_context};
     std::map<vm_id, vm_info> m_peers;
-    std::set<boost::asio::ip::address> m_allowed;
-    std::map<vm_id, std::shared_ptr<outgoing>> m_outgoing;
-    log_limiter m_refusedLog {millis(1000)};
+    std::set<boost::asio::ip::address> m_allowedAddresses;
+    std::map<vm_id, std::shared_ptr<outgoing_connection>> m_outgoing;
+    log_limiter m_refusalLog {millis(1000)};
     std::thread m_thread;
 };
 
--- a/programs/chivelockd/platform_watch.h
+++ b/programs/chivelockd/platform_watch.h
@@ -16,9 +16,9 @@
 class decision_service;
 
 /**
- * The adapter to the platform's configuration service: watches three documents with one waiting read each.
- * Protocol: GET {url}/v1/config/{name}?after={revision}&wait_ms={n} gives 200 with a document of a later revision, or
- * 204 when the wait ends. Nothing is ever written.
+ * Client of the platform's configuration service. Watches three documents with one long poll each.
+ * Protocol: GET {url}/v1/config/{name}?after={revision}&wait_ms={n} returns 200 with the document as soon as its
+ * revision is later, or 204 after the wait time. The client only reads.
  */
 class platform_watch : public kernel_service
 {
@@ -36,25 +36,27 @@
     [[nodiscard]] tl::expected<void, kernel_error> start() override;
     void stop() override;
 
-    /** A read that waits after a failure is made at once: a leaf knows something newer. */
-    void hurry();
+    /** Starts reads that are delayed after a failure immediately. Called when a leaf holds a newer revision. */
+    void retryNow();
 
 private:
-    struct watched {
-        platform_document which;
+    struct watched_document {
+        platform_document document;
         std::string_view path;
         CURL *handle = nullptr;
         std::string text {};
         std::uint64_t revision = 0;
-        bool running = false;
-        millis startAt {};
+        bool reading = false; ///< a request is in flight
+        millis nextReadAt {};
     };
 
     void run();
-    void begin(watched &document);
-    void finish(CURL *handle, CURLcode result, millis now);
-    void takeText(watched &document);
-    [[nodiscard]] millis pauseAfterFailure();
+    void startRead(watched_document &watched);
+    void finishRead(CURL *handle, CURLcode result, millis now);
+    /** Passes the document to the decision thread and schedules the next read. */
+    void forwardDocument(watched_document &watched);
+    /** @return the configured retry time, scaled by a random factor from 0.5 to 1.5. */
+    [[nodiscard]] millis retryDelay();
 
     const daemon_settings &m_settings;
     steady_clock m_clock;
@@ -62,9 +64,9 @@
     log_limiter m_failureLog;
     decision_service *m_decision = nullptr;
     CURLM *m_multi = nullptr;
-    std::array<watched, 3> m_documents;
-    std::atomic<bool> m_hurry = false;
-    std::atomic<bool> m_end = false;
+    std::array<watched_document, 3> m_documents;
+    std::atomic<bool> m_retryNow = false;
+    std::atomic<bool> m_stopThread = false;
     std::thread m_thread;
 };
 
--- a/programs/chivelockd/reports.cpp
+++ b/programs/chivelockd/reports.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint16_t okStatus = 200;
 constexpr std::uint16_t notReadyStatus = 503;
 
-/** What an operator should look at, in words; empty if all is well. */
-json troublesOf(const entry_status &status)
+/** Lists the problems that an operator should look at, one text each. Empty if there are none. */
+json listTroubles(const entry_status &status)
 {
     json troubles = json::array();
     if (status.ready != readiness::Ready) {
@@ -51,7 +51,7 @@
                  {"shards_in_hand", status.shardsInHand},
                  {"leaf_requests", status.leafRequests},
                  {"tickets", status.tickets},
-                 {"troubles", troublesOf(status)},
+                 {"troubles", listTroubles(status)},
                  {"members", json::array()},
                  {"services", json::array()},
                  {"kinds", json::array()}};
@@ -92,10 +92,10 @@
 
 } // namespace
 
-report_page writeReport(const report_wanted &wanted, const entry_core &core, millis now)
+report_page writeReport(const report_requested &request, const entry_core &core, millis now)
 {
-    report_page page {wanted.caller, okStatus, "application/json", {}};
-    switch (wanted.kind) {
+    report_page page {request.caller, okStatus, "application/json", {}};
+    switch (request.kind) {
     case report_kind::Ready: {
         const readiness ready = core.status(now).ready;
         page.status = ready == readiness::Ready ? okStatus : notReadyStatus;
@@ -118,16 +118,16 @@
     const auto count = [](std::uint64_t value) { return static_cast<double>(value); };
     const runner_counters &runner = page.runner;
     const root_counters &root = page.root;
-    const std::string_view tries = "chivelock_leaf_requests_total";
-    const std::string_view triesHelp = "Requests sent to leafs, by cause";
+    const std::string_view leafSends = "chivelock_leaf_requests_total";
+    const std::string_view leafSendsHelp = "Requests sent to leafs, by cause";
     const std::string_view refusals = "chivelock_refusals_total";
     const std::string_view refusalsHelp = "Refusals, by who refused: own_limits, own_queue or leaf";
     const std::string_view dropped = "chivelock_dropped_replies_total";
     const std::string_view droppedHelp = "Replies that were not used, by cause";
     return {
-        {tries, triesHelp, count(runner.firstTries), "first"},
-        {tries, triesHelp, count(runner.retries), "retry"},
-        {tries, triesHelp, count(runner.hedges), "hedge"},
+        {leafSends, leafSendsHelp, count(runner.firstTries), "first"},
+        {leafSends, leafSendsHelp, count(runner.retries), "retry"},
+        {leafSends, leafSendsHelp, count(runner.hedges), "hedge"},
         {"chivelock_hedge_wins_total", "Hedges whose answer came first", count(runner.hedgeWins), {}},
         {"chivelock_cancels_total", "Requests cancelled at leafs", count(runner.cancels), {}},
         {refusals, refusalsHelp, count(root.refusedHere), "own_limits"},
--- a/programs/chivelockd/reports.h
+++ b/programs/chivelockd/reports.h
@@ -6,10 +6,10 @@
 
 namespace chivelock {
 
-/** Readiness, status or audit trail as a page. */
-[[nodiscard]] report_page writeReport(const report_wanted &wanted, const entry_core &core, millis now);
+/** Builds the readiness, status or audit page. */
+[[nodiscard]] report_page writeReport(const report_requested &request, const entry_core &core, millis now);
 
-/** The counts of one moment as metrics. */
+/** Converts the counters into metrics. */
 [[nodiscard]] std::vector<metric_value> metricValues(const metrics_page &page);
 
 } // namespace chivelock
--- a/programs/chivelockd/settings_file.h
+++ b/programs/chivelockd/settings_file.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file The settings file as text, and what is wrong with it as lines. */
+/** @file Reads a settings file and formats the problems found in it. */
 
 #include <schema/schema.h>
 
@@ -10,9 +10,10 @@
 
 namespace chivelock {
 
+/** @return the content of the file, or an error message with its path. */
 [[nodiscard]] tl::expected<std::string, std::string> readFile(const std::string &path);
 
-/** One line for each problem: path, rule, value. */
+/** Formats the problems as one line each: path, violated rule and value. */
 [[nodiscard]] std::string problemLines(const document_error &error);
 
 } // namespace chivelock
