--- a/libs/base/include/base/base.h
+++ b/libs/base/include/base/base.h
@@ -2,7 +2,8 @@
 
 /**
  * @file
- * Types that every other library uses: time, identifiers, the bounded ring between threads, preconditions, log lines.
+ * Types shared by all libraries: time, identifiers, the bounded ring buffer between threads, precondition checks, and
+ * structured logging.
  */
 
 #include <boost/lockfree/queue.hpp>
@@ -20,15 +21,15 @@
 namespace chivelock {
 
 /**
- * A time in milliseconds, with microsecond resolution. It serves as a duration and as an instant since the origin of
- * the clock that gave it. Instants of two processes are never compared: deadlines travel as remaining time.
+ * A time in milliseconds, with microsecond resolution. It represents a duration, or an instant relative to the origin
+ * of the clock that returned it. Instants of two processes are not comparable, so deadlines are sent as remaining time.
  */
 class millis
 {
 public:
     constexpr millis() = default;
 
-    /** @param value milliseconds; parts of a microsecond are cut off. */
+    /** @param value milliseconds; truncated to whole microseconds. */
     constexpr explicit millis(double value)
         : m_micros(static_cast<std::int64_t>(value * microsPerMilli))
     {
@@ -41,7 +42,7 @@
         return result;
     }
 
-    /** Later than any instant a process reaches. */
+    /** An instant later than any that a clock returns. */
     static constexpr millis never()
     {
         return fromMicros(INT64_MAX / 4);
@@ -57,7 +58,7 @@
         return m_micros;
     }
 
-    /** Whole milliseconds, rounded up: a caller that waits this long has waited long enough. */
+    /** Whole milliseconds, rounded up so that a caller that waits this long waits at least this time. */
     [[nodiscard]] constexpr std::int64_t ceiled() const
     {
         return (m_micros + 999) / 1000;
@@ -85,7 +86,7 @@
     std::int64_t m_micros = 0;
 };
 
-/** What a clock must offer; tests and the bench use one that they set by hand. */
+/** Requirements on a clock type; tests and benchmarks use a clock that they set manually. */
 template<typename clock_type>
 concept millis_clock = requires(const clock_type &clock)
 {
@@ -94,7 +95,7 @@
         } -> std::same_as<millis>;
 };
 
-/** The process's clock: counts while the process is stopped, never steps with the wall clock. */
+/** Monotonic clock: advances while the process is paused and is not affected by changes of the wall clock. */
 class steady_clock
 {
 public:
@@ -102,8 +103,9 @@
 };
 
 /**
- * Counts on while the whole VM is suspended, which @ref steady_clock does not: a deadline that passed in such a gap has
- * passed for the caller too, and a connection that idled through it is as old as the other side thinks.
+ * Monotonic clock that also advances while the whole VM is suspended, unlike @ref steady_clock. A deadline that expires
+ * during the suspension has expired for the caller too, and the idle time of a connection matches what the remote end
+ * measures.
  */
 class boot_clock
 {
@@ -111,30 +113,30 @@
     [[nodiscard]] millis now() const;
 };
 
-/** A number that names one thing of the kind given by the tag. */
+/** A numeric identifier; the tag makes identifiers of different kinds distinct types. */
 template<typename tag>
-struct numbered {
+struct numeric_id {
     std::uint32_t value = 0;
-    constexpr auto operator<=>(const numbered &) const = default;
+    constexpr auto operator<=>(const numeric_id &) const = default;
 };
 
-/** A name for one thing of the kind given by the tag. */
+/** A string identifier; the tag makes identifiers of different kinds distinct types. */
 template<typename tag>
-struct named {
+struct string_id {
     std::string value;
-    auto operator<=>(const named &) const = default;
+    auto operator<=>(const string_id &) const = default;
 };
 
-using vm_id = numbered<struct vm_tag>;
-using leaf_id = numbered<struct leaf_tag>;
-using shard_id = numbered<struct shard_tag>;
-using snapshot_id = numbered<struct snapshot_tag>;
-using map_version = numbered<struct map_version_tag>;
-using service_name = named<struct service_tag>;
-using kind_name = named<struct kind_tag>;
-using zone_name = named<struct zone_tag>;
+using vm_id = numeric_id<struct vm_tag>;
+using leaf_id = numeric_id<struct leaf_tag>;
+using shard_id = numeric_id<struct shard_tag>;
+using snapshot_id = numeric_id<struct snapshot_tag>;
+using map_version = numeric_id<struct map_version_tag>;
+using service_name = string_id<struct service_tag>;
+using kind_name = string_id<struct kind_tag>;
+using zone_name = string_id<struct zone_tag>;
 
-/** Whether a lookup goes before others at a full target. */
+/** Whether a lookup takes precedence over others when a target is at capacity. */
 enum class urgency : std::uint8_t {
     Urgent,
     Ordinary
@@ -142,7 +144,7 @@
 
 [[nodiscard]] std::string_view toString(urgency value);
 
-/** A pure source of pseudo-random numbers (splitmix64); the seed is part of the input, so runs repeat exactly. */
+/** Deterministic pseudo-random number generator (splitmix64): the same seed always gives the same sequence. */
 class seeded_random
 {
 public:
@@ -163,12 +165,12 @@
     std::uint64_t m_state;
 };
 
-/** Stops the process with the message if a caller broke a precondition: going on would spread a wrong state. */
+/** Prints the message and aborts the process if the condition is false: continuing could propagate corrupt state. */
 void require(bool condition, std::string_view message);
 
 /**
- * Bounded ring from many threads to one. A full ring refuses, so a slow reader never blocks a writer: the writer must
- * have an answer for that case. The reader waits on @ref wakeFd.
+ * Bounded multi-producer, single-consumer queue. @ref push fails when the ring is full, so a slow consumer never blocks
+ * a producer; the producer must handle the failure. The consumer waits on @ref wakeFd.
  */
 template<typename item>
 class bounded_ring
@@ -179,21 +181,21 @@
     bounded_ring &operator=(const bounded_ring &) = delete;
     ~bounded_ring();
 
-    /** @return false if the ring is full; @p value is then left as it was. */
+    /** @return false if the ring is full; @p value is then unchanged. */
     [[nodiscard]] bool push(item &&value);
 
-    /** Hands every waiting item, oldest first, to @p take. @return how many. */
+    /** Removes all queued items and passes each to @p consume, oldest first. @return the number of items. */
     template<typename consumer>
-    std::size_t drain(consumer &&take);
+    std::size_t drain(consumer &&consume);
 
-    /** Readable while items wait. */
+    /** File descriptor that is readable while items are queued. */
     [[nodiscard]] int wakeFd() const
     {
         return m_wake.fd();
     }
 
 private:
-    /** An eventfd; kept apart so that the template holds no system calls. */
+    /** Owns an eventfd. Its system calls are in base.cpp, so that this template contains none. */
     class wake_signal
     {
     public:
@@ -229,13 +231,13 @@
     Error
 };
 
-/** Prepares logging to standard output for the process; nothing is written to files. Call it once, first. */
-void startLogging(log_level least);
+/** Sets up logging to standard output, without log files. Must be called once, before the first @ref logEvent. */
+void startLogging(log_level minLevel);
 
 /**
- * While it lives, log lines are handed to a thread of its own that writes them: whoever logs never waits for standard
- * output. Lines beyond @p linesPerSecond, or those that find the ring full, are left out and counted in a line of their
- * own. At most one at a time.
+ * Writes log lines on a dedicated thread while an instance exists, so that logging threads never block on standard
+ * output. Lines that exceed @p linesPerSecond or do not fit in the ring are dropped; a log_lines_dropped line reports
+ * how many. At most one instance may exist at a time.
  */
 class log_writer
 {
@@ -243,10 +245,10 @@
     explicit log_writer(std::uint32_t linesPerSecond);
     log_writer(const log_writer &) = delete;
     log_writer &operator=(const log_writer &) = delete;
-    /** Writes what is left. */
+    /** Writes the queued lines and stops the thread. */
     ~log_writer();
 
-    /** Lines left out since the start. */
+    /** Number of lines dropped since construction. */
     [[nodiscard]] std::uint64_t dropped() const;
 
 private:
@@ -254,10 +256,13 @@
     std::unique_ptr<state> m_state;
 };
 
-/** Writes one line: level, event and the fields as key=value pairs; values with blanks are quoted. */
+/**
+ * Writes one line: time, level, event and the fields as key=value pairs. Values that are empty or have blanks or other
+ * special characters are quoted.
+ */
 void logEvent(log_level level, std::string_view event, std::initializer_list<log_field> fields);
 
-/** Limits how often one repeated cause is logged; tells how many lines were left out. */
+/** Limits how often a recurring event is logged and counts the suppressed lines. */
 class log_limiter
 {
 public:
@@ -269,7 +274,7 @@
     /** @return true if a line may be written now. */
     [[nodiscard]] bool allow(millis now);
 
-    /** Lines left out since the last one that was allowed; reading it starts the count anew. */
+    /** Number of lines suppressed since the previous call; resets the count. */
     [[nodiscard]] std::uint64_t takeSuppressed();
 
 private:
@@ -305,13 +310,13 @@
 
 template<typename item>
 template<typename consumer>
-std::size_t bounded_ring<item>::drain(consumer &&take)
+std::size_t bounded_ring<item>::drain(consumer &&consume)
 {
-    // The signal is cleared before reading: an item pushed after the last read then raises it again.
+    // The signal must be cleared before the queue is read, so that an item pushed after the last read raises it again.
     m_wake.clear();
-    return m_queue.consume_all([&take](item *value) {
+    return m_queue.consume_all([&consume](item *value) {
         const std::unique_ptr<item> owned(value);
-        take(std::move(*owned));
+        consume(std::move(*owned));
     });
 }
 
@@ -349,16 +354,16 @@
 } // namespace chivelock
 
 template<typename tag>
-struct std::hash<chivelock::numbered<tag>> {
-    std::size_t operator()(const chivelock::numbered<tag> &id) const noexcept
+struct std::hash<chivelock::numeric_id<tag>> {
+    std::size_t operator()(const chivelock::numeric_id<tag> &id) const noexcept
     {
         return std::hash<std::uint32_t>()(id.value);
     }
 };
 
 template<typename tag>
-struct std::hash<chivelock::named<tag>> {
-    std::size_t operator()(const chivelock::named<tag> &name) const noexcept
+struct std::hash<chivelock::string_id<tag>> {
+    std::size_t operator()(const chivelock::string_id<tag> &name) const noexcept
     {
         return std::hash<std::string>()(name.value);
     }
--- a/libs/base/src/base.cpp
+++ b/libs/base/src/base.cpp
@@ -41,13 +41,13 @@
 
 double seeded_random::uniform()
 {
-    constexpr double scale = 1.0 / 9007199254740992.0; // 2^53: a double holds that many steps exactly
+    constexpr double scale = 1.0 / 9007199254740992.0; // 2^-53: a double holds each multiple in [0, 1) exactly
     return static_cast<double>(next() >> 11) * scale;
 }
 
 std::size_t seeded_random::below(std::size_t bound)
 {
-    require(bound > 0, "seeded_random::below needs a positive bound");
+    require(bound > 0, "the bound of seeded_random::below must be positive");
     return static_cast<std::size_t>(next() % bound);
 }
 
@@ -56,7 +56,7 @@
     if (condition) {
         return;
     }
-    std::fprintf(stderr, "precondition broken: %.*s\n", static_cast<int>(message.size()), message.data());
+    std::fprintf(stderr, "precondition violated: %.*s\n", static_cast<int>(message.size()), message.data());
     std::abort();
 }
 
@@ -80,7 +80,7 @@
 int openWakeFd()
 {
     const int fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    require(fd >= 0, "eventfd must be available");
+    require(fd >= 0, "eventfd() failed; cannot create the wake-up descriptor of a ring");
     return fd;
 }
 
@@ -91,7 +91,7 @@
 
 void raiseWakeFd(int fd)
 {
-    // A full counter is still readable, so a failed write loses no wake-up.
+    // If the counter is full, the write fails, but the descriptor is already readable: no wake-up is lost.
     (void)eventfd_write(fd, 1);
 }
 
--- a/libs/base/src/log.cpp
+++ b/libs/base/src/log.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-std::string quoted(std::string_view text)
+std::string quote(std::string_view text)
 {
     std::string result = "\"";
     for (const char c : text) {
@@ -28,14 +28,14 @@
     return result + '"';
 }
 
-struct value_writer {
+struct value_formatter {
     std::string operator()(const std::string &text) const
     {
-        const bool plain = !text.empty() && std::ranges::all_of(text, [](unsigned char c) {
+        const bool needsNoQuotes = !text.empty() && std::ranges::all_of(text, [](unsigned char c) {
             return std::isalnum(c) != 0
                 || std::string_view("-_./:+,%").find(static_cast<char>(c)) != std::string_view::npos;
         });
-        return plain ? text : quoted(text);
+        return needsNoQuotes ? text : quote(text);
     }
 
     std::string operator()(bool flag) const
@@ -50,20 +50,21 @@
     }
 };
 
-/** Taken when the event happens; a line may be written some time later. */
-std::string timeNow()
+/** The current time in UTC. Called when the event occurs, because the line may be written later. */
+std::string utcTimestamp()
 {
-    const auto now = std::chrono::system_clock::now();
-    const std::time_t seconds = std::chrono::system_clock::to_time_t(now);
-    const auto sinceEpoch = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
+    const auto currentTime = std::chrono::system_clock::now();
+    const std::time_t seconds = std::chrono::system_clock::to_time_t(currentTime);
+    const auto sinceEpoch =
+        std::chrono::duration_cast<std::chrono::milliseconds>(currentTime.time_since_epoch()).count();
     std::tm parts {};
     gmtime_r(&seconds, &parts);
     std::array<char, 40> text {};
     const std::size_t length = std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
     constexpr int millisPerSecond = 1000;
-    const int rest = std::snprintf(
+    const int millisLength = std::snprintf(
         text.data() + length, text.size() - length, ".%03d", static_cast<int>(sinceEpoch % millisPerSecond));
-    return {text.data(), length + static_cast<std::size_t>(rest)};
+    return {text.data(), length + static_cast<std::size_t>(millisLength)};
 }
 
 struct log_line {
@@ -95,11 +96,11 @@
     return names.at(static_cast<std::size_t>(level));
 }
 
-std::atomic<log_level> leastLevel = log_level::Debug;
+std::atomic<log_level> minimumLevel = log_level::Debug;
 
 } // namespace
 
-/** Lines on their way to the thread that writes them. */
+/** The queue of lines for the writer thread, and the thread's loop. */
 struct log_writer::state {
     explicit state(std::uint32_t limit)
         : linesPerInterval(std::max(1U, limit * flushMillis / 1000))
@@ -107,20 +108,21 @@
     {
     }
 
-    static constexpr std::uint32_t flushMillis = 100; // lines wait this long at most; ten wake-ups a second cost little
+    static constexpr std::uint32_t flushMillis =
+        100; // longest delay of a line; ten wake-ups per second use little CPU time
     static constexpr std::size_t ringCapacity = 8192;
 
     std::uint32_t linesPerInterval;
     boost::lockfree::queue<log_line *, boost::lockfree::fixed_sized<true>> lines;
-    std::atomic<std::uint32_t> taken = 0; ///< in this interval
+    std::atomic<std::uint32_t> offeredInInterval = 0; ///< lines offered since the last flush
     std::atomic<std::uint64_t> dropped = 0;
-    std::atomic<bool> ending = false;
+    std::atomic<bool> stopping = false;
     std::thread thread;
 
-    void offer(log_line line)
+    void enqueue(log_line line)
     {
         auto owned = std::make_unique<log_line>(std::move(line));
-        if (taken.fetch_add(1) >= linesPerInterval || !lines.bounded_push(owned.get())) {
+        if (offeredInInterval.fetch_add(1) >= linesPerInterval || !lines.bounded_push(owned.get())) {
             dropped += 1;
             return;
         }
@@ -129,16 +131,16 @@
 
     void run()
     {
-        std::uint64_t told = 0;
-        while (!ending) {
+        std::uint64_t reportedDrops = 0;
+        while (!stopping) {
             std::this_thread::sleep_for(std::chrono::milliseconds(flushMillis));
-            taken = 0;
+            offeredInInterval = 0;
             writeAll();
-            if (const std::uint64_t now = dropped; now != told) {
+            if (const std::uint64_t totalDrops = dropped; totalDrops != reportedDrops) {
                 write({log_level::Warning,
-                       "time=" + timeNow()
-                           + " level=warning event=log_lines_dropped count=" + std::to_string(now - told)});
-                told = now;
+                       "time=" + utcTimestamp() + " level=warning event=log_lines_dropped count="
+                           + std::to_string(totalDrops - reportedDrops)});
+                reportedDrops = totalDrops;
             }
         }
         writeAll();
@@ -156,23 +158,23 @@
 namespace {
 
 std::atomic<log_writer *> activeWriter = nullptr;
-std::function<void(log_line)> offerLine;
+std::function<void(log_line)> enqueueLine;
 
 } // namespace
 
 log_writer::log_writer(std::uint32_t linesPerSecond)
     : m_state(std::make_unique<state>(linesPerSecond))
 {
-    require(activeWriter == nullptr, "one log_writer at a time");
-    offerLine = [kept = m_state.get()](log_line line) { kept->offer(std::move(line)); };
+    require(activeWriter == nullptr, "at most one log_writer may exist at a time");
+    enqueueLine = [writerState = m_state.get()](log_line line) { writerState->enqueue(std::move(line)); };
     activeWriter = this;
-    m_state->thread = std::thread([kept = m_state.get()] { kept->run(); });
+    m_state->thread = std::thread([writerState = m_state.get()] { writerState->run(); });
 }
 
 log_writer::~log_writer()
 {
     activeWriter = nullptr;
-    m_state->ending = true;
+    m_state->stopping = true;
     m_state->thread.join();
 }
 
@@ -181,21 +183,21 @@
     return m_state->dropped;
 }
 
-void startLogging(log_level least)
+void startLogging(log_level minLevel)
 {
     el::Configurations settings;
     settings.setToDefault();
     settings.setGlobally(el::ConfigurationType::ToFile, "false");
     settings.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
     settings.setGlobally(el::ConfigurationType::Format, "%msg");
-    leastLevel = least;
-    if (least > log_level::Debug) {
+    minimumLevel = minLevel;
+    if (minLevel > log_level::Debug) {
         settings.set(el::Level::Debug, el::ConfigurationType::Enabled, "false");
     }
-    if (least > log_level::Info) {
+    if (minLevel > log_level::Info) {
         settings.set(el::Level::Info, el::ConfigurationType::Enabled, "false");
     }
-    if (least > log_level::Warning) {
+    if (minLevel > log_level::Warning) {
         settings.set(el::Level::Warning, el::ConfigurationType::Enabled, "false");
     }
     el::Loggers::reconfigureAllLoggers(settings);
@@ -203,19 +205,20 @@
 
 void logEvent(log_level level, std::string_view event, std::initializer_list<log_field> fields)
 {
-    if (level < leastLevel) {
+    if (level < minimumLevel) {
         return;
     }
-    std::string text = "time=" + timeNow() + " level=" + std::string(levelName(level)) + " event=" + std::string(event);
+    std::string text =
+        "time=" + utcTimestamp() + " level=" + std::string(levelName(level)) + " event=" + std::string(event);
     for (const log_field &field : fields) {
         text += ' ';
         text += field.key;
         text += '=';
-        text += std::visit(value_writer(), field.value);
+        text += std::visit(value_formatter(), field.value);
     }
     log_line line {level, std::move(text)};
     if (activeWriter != nullptr) {
-        offerLine(std::move(line));
+        enqueueLine(std::move(line));
     } else {
         write(line);
     }
--- a/libs/base/tests/test_base.cpp
+++ b/libs/base/tests/test_base.cpp
@@ -8,7 +8,7 @@
 
 using namespace chivelock;
 
-BOOST_AUTO_TEST_CASE(millis_keeps_microseconds_and_rounds_up_for_callers)
+BOOST_AUTO_TEST_CASE(millis_keeps_microseconds_and_ceiled_rounds_up)
 {
     BOOST_TEST(millis(2.5).micros() == 2500);
     BOOST_TEST(millis::fromMicros(1).ceiled() == 1);
@@ -17,7 +17,7 @@
     BOOST_TEST((millis(4) * 0.25).micros() == 1000);
 }
 
-BOOST_AUTO_TEST_CASE(same_seed_gives_same_numbers)
+BOOST_AUTO_TEST_CASE(same_seed_gives_the_same_sequence)
 {
     seeded_random left(7);
     seeded_random right(7);
@@ -28,35 +28,34 @@
     }
 }
 
-// Symptom: a caller waits for ever, or the decision thread stands still.
-// Sequence: a ring is full and the writer either blocks or drops the item without a word.
-// Cause: a push that does not say whether it took the item.
-BOOST_AUTO_TEST_CASE(full_ring_refuses_and_leaves_the_item_whole)
+// Guards against a caller that waits forever or a blocked decision thread. Either happens if push() on a full ring
+// blocks, or drops the item without reporting it to the producer.
+BOOST_AUTO_TEST_CASE(push_to_full_ring_fails_and_keeps_the_item)
 {
     bounded_ring<std::string> ring(2);
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     std::string item = "kept";
     while (ring.push(std::string("x"))) {
-        ++taken;
+        ++accepted;
     }
-    BOOST_TEST(taken >= 2);
+    BOOST_TEST(accepted >= 2);
     const bool pushed = ring.push(std::move(item));
     BOOST_TEST(!pushed);
-    // NOLINTNEXTLINE(bugprone-use-after-move): this is what is tested
+    // NOLINTNEXTLINE(bugprone-use-after-move): push() must not move from the item if it fails
     BOOST_TEST(item == "kept");
     std::size_t drained = ring.drain([](std::string &&) {});
-    BOOST_TEST(drained == taken);
+    BOOST_TEST(drained == accepted);
 }
 
-BOOST_AUTO_TEST_CASE(ring_loses_and_doubles_nothing_between_threads)
+BOOST_AUTO_TEST_CASE(ring_delivers_each_item_exactly_once_between_threads)
 {
-    constexpr int perThread = 20000;
+    constexpr int itemsPerThread = 20000;
     bounded_ring<int> ring(1024);
-    std::vector<std::thread> writers;
-    writers.reserve(4);
-    for (int writer = 0; writer < 4; ++writer) {
-        writers.emplace_back([&ring] {
-            for (int count = 0; count < perThread; ++count) {
+    std::vector<std::thread> producers;
+    producers.reserve(4);
+    for (int producer = 0; producer < 4; ++producer) {
+        producers.emplace_back([&ring] {
+            for (int count = 0; count < itemsPerThread; ++count) {
                 while (!ring.push(1)) {
                     std::this_thread::yield();
                 }
@@ -64,15 +63,15 @@
         });
     }
     int sum = 0;
-    while (sum < 4 * perThread) {
+    while (sum < 4 * itemsPerThread) {
         ring.drain([&sum](int &&one) { sum += one; });
     }
-    std::ranges::for_each(writers, [](std::thread &writer) { writer.join(); });
-    BOOST_TEST(sum == 4 * perThread);
+    std::ranges::for_each(producers, [](std::thread &producer) { producer.join(); });
+    BOOST_TEST(sum == 4 * itemsPerThread);
     BOOST_TEST(ring.drain([](int &&) {}) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(repeated_cause_is_logged_once_an_interval_and_counted)
+BOOST_AUTO_TEST_CASE(recurring_event_is_logged_once_per_interval_and_counted)
 {
     log_limiter limiter {millis(100)};
     BOOST_TEST(limiter.allow(millis(1000)));
