--- a/libs/kernel/include/kernel/kernel.h
+++ b/libs/kernel/include/kernel/kernel.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * The micro-kernel: services of one process, found by name, started in order and stopped in reverse.
+ * The service registry of one process: finds services by name, starts them in order and stops them in reverse order.
  */
 
 #include <tl/expected.hpp>
@@ -14,7 +14,7 @@
 
 namespace chivelock {
 
-/** Why a process could not start. */
+/** Reports which service failed to start and why. */
 struct kernel_error {
     std::string service;
     std::string reason;
@@ -22,7 +22,7 @@
 
 class kernel;
 
-/** One duty of the process; most own one thread. */
+/** A component of the process with its own life cycle; most services own one thread. */
 class kernel_service
 {
 public:
@@ -33,16 +33,16 @@
 
     [[nodiscard]] virtual std::string_view name() const = 0;
 
-    /** Finds the services it works with; all are added, none has started. */
+    /** Looks up the services that this service uses. Called when all services have been added and none has started. */
     virtual void connect(kernel &services) = 0;
 
     [[nodiscard]] virtual tl::expected<void, kernel_error> start() = 0;
 
-    /** Ends its thread; called once after a successful start. */
+    /** Stops the service and ends its thread. Called exactly once after a successful @ref start. */
     virtual void stop() = 0;
 };
 
-/** Owns the services. */
+/** Owns the services of a process and controls their life cycle. */
 class kernel
 {
 public:
@@ -51,31 +51,34 @@
     kernel &operator=(const kernel &) = delete;
     ~kernel();
 
-    /** @pre no service of that name was added. */
+    /** @pre no service with the same name was added before. */
     void add(std::unique_ptr<kernel_service> service);
 
-    /** @pre a service of that name and type was added. */
+    /** @pre a service with this name and type was added. */
     template<typename service_type>
     service_type &find(std::string_view name);
 
-    /** Connects all, then starts all in the order added; stops those that started if one fails. */
+    /**
+     * Connects all services, then starts them in the order in which they were added. If one fails to start, stops the
+     * services that have started.
+     */
     [[nodiscard]] tl::expected<void, kernel_error> start();
 
-    /** Stops what started, newest first. */
+    /** Stops the started services in reverse order of their start. */
     void stop();
 
 private:
-    [[nodiscard]] kernel_service *lookUp(std::string_view name) const;
+    [[nodiscard]] kernel_service *findByName(std::string_view name) const;
     static void requireFound(bool found, std::string_view name);
 
     std::vector<std::unique_ptr<kernel_service>> m_services;
-    std::size_t m_started = 0;
+    std::size_t m_startedCount = 0;
 };
 
 template<typename service_type>
 service_type &kernel::find(std::string_view name)
 {
-    auto *found = dynamic_cast<service_type *>(lookUp(name));
+    auto *found = dynamic_cast<service_type *>(findByName(name));
     requireFound(found != nullptr, name);
     return *found;
 }
--- a/libs/kernel/src/kernel.cpp
+++ b/libs/kernel/src/kernel.cpp
@@ -13,7 +13,7 @@
 
 void kernel::add(std::unique_ptr<kernel_service> service)
 {
-    require(lookUp(service->name()) == nullptr, "a service name is used once");
+    require(findByName(service->name()) == nullptr, "a service with this name was added before");
     m_services.push_back(std::move(service));
 }
 
@@ -25,20 +25,20 @@
             stop();
             return started;
         }
-        ++m_started;
+        ++m_startedCount;
     }
     return {};
 }
 
 void kernel::stop()
 {
-    while (m_started > 0) {
-        --m_started;
-        m_services[m_started]->stop();
+    while (m_startedCount > 0) {
+        --m_startedCount;
+        m_services[m_startedCount]->stop();
     }
 }
 
-kernel_service *kernel::lookUp(std::string_view name) const
+kernel_service *kernel::findByName(std::string_view name) const
 {
     const auto found = std::ranges::find(m_services, name, [](const auto &service) { return service->name(); });
     return found != m_services.end() ? found->get() : nullptr;
@@ -46,7 +46,7 @@
 
 void kernel::requireFound(bool found, std::string_view name)
 {
-    require(found, "no such service: " + std::string(name));
+    require(found, "no service of the requested type has this name: " + std::string(name));
 }
 
 } // namespace chivelock
--- a/libs/kernel/tests/test_kernel.cpp
+++ b/libs/kernel/tests/test_kernel.cpp
@@ -12,10 +12,10 @@
 class recording_service : public kernel_service
 {
 public:
-    recording_service(std::string name, std::vector<std::string> &events, bool fails)
+    recording_service(std::string name, std::vector<std::string> &events, bool failsToStart)
         : m_name(std::move(name))
         , m_events(events)
-        , m_fails(fails)
+        , m_failsToStart(failsToStart)
     {
     }
 
@@ -31,7 +31,7 @@
 
     [[nodiscard]] tl::expected<void, kernel_error> start() override
     {
-        if (m_fails) {
+        if (m_failsToStart) {
             return tl::unexpected(kernel_error {m_name, "port taken"});
         }
         m_events.push_back("start " + m_self->m_name);
@@ -46,7 +46,7 @@
 private:
     std::string m_name;
     std::vector<std::string> &m_events;
-    bool m_fails;
+    bool m_failsToStart;
     recording_service *m_self = nullptr;
 };
 
@@ -63,7 +63,7 @@
     BOOST_TEST((events == std::vector<std::string> {"start a", "start b", "stop b", "stop a"}));
 }
 
-BOOST_AUTO_TEST_CASE(failed_start_says_which_and_stops_the_others)
+BOOST_AUTO_TEST_CASE(failed_start_names_the_service_and_stops_the_started_ones)
 {
     std::vector<std::string> events;
     kernel services;
