--- a/libs/catalogue/src/document.cpp
+++ b/libs/catalogue/src/document.cpp
@@ -62,9 +62,9 @@
     return schema;
 }
 
-kind_entry entryFrom(const nlohmann::json &json)
+kind_entry entryFromJson(const nlohmann::json &json)
 {
-    constexpr std::uint32_t defaultRows = 100;
+    constexpr std::uint32_t defaultMaxRows = 100;
     kind_entry entry;
     entry.name = {json.at("name").get<std::string>()};
     entry.owner = json.at("owner").get<std::string>();
@@ -78,12 +78,12 @@
     entry.hardLimit = millis(json.at("hard_limit_ms").get<double>());
     entry.maxInFlight = json.at("max_in_flight").get<std::uint32_t>();
     entry.maxPerSecond = json.at("max_per_second").get<std::uint32_t>();
-    entry.maxRows = json.value("max_rows", defaultRows);
+    entry.maxRows = json.value("max_rows", defaultMaxRows);
     entry.merge = json.value("merge", "top_score") == "concatenate" ? merge_rule::Concatenate : merge_rule::TopScore;
     return entry;
 }
 
-nlohmann::json jsonFrom(const kind_entry &entry)
+nlohmann::json entryToJson(const kind_entry &entry)
 {
     return {{"name", entry.name.value},
             {"owner", entry.owner},
@@ -101,31 +101,34 @@
             {"merge", entry.merge == merge_rule::Concatenate ? "concatenate" : "top_score"}};
 }
 
-/** Digests use all 64 bits; JSON readers, the schema checker among them, take numbers above 2^63 for negative ones. */
-std::string hexOf(std::uint64_t number)
+/**
+ * Digests are written as hexadecimal text because they use all 64 bits: JSON readers, including the schema
+ * validator, read numbers above 2^63 as negative.
+ */
+std::string toHex(std::uint64_t number)
 {
     std::array<char, sizeof(number) * 2> digits {};
-    const auto written = std::to_chars(digits.begin(), digits.end(), number, hexBase);
-    return {digits.begin(), written.ptr};
+    const auto conversion = std::to_chars(digits.begin(), digits.end(), number, hexBase);
+    return {digits.begin(), conversion.ptr};
 }
 
-/** @pre the text is checked to be 1 to 16 hexadecimal digits. */
-std::uint64_t numberFromHex(const std::string &text)
+/** @pre the text consists of 1 to 16 hexadecimal digits, as the schema requires. */
+std::uint64_t parseHex(const std::string &text)
 {
     std::uint64_t number = 0;
     (void)std::from_chars(text.data(), text.data() + text.size(), number, hexBase);
     return number;
 }
 
-/** Rules that span fields, which a schema can't say. */
-std::vector<document_problem> crossChecked(std::span<const kind_entry> kinds)
+/** Checks the rules across fields, which a JSON schema cannot express. */
+std::vector<document_problem> crossFieldProblems(std::span<const kind_entry> kinds)
 {
     std::vector<document_problem> problems;
-    std::set<kind_name> seen;
+    std::set<kind_name> seenNames;
     for (std::size_t index = 0; index < kinds.size(); ++index) {
         const kind_entry &entry = kinds[index];
         const std::string path = "/kinds/" + std::to_string(index);
-        if (!seen.insert(entry.name).second) {
+        if (!seenNames.insert(entry.name).second) {
             problems.push_back({path + "/name", entry.name.value, "each kind is named once"});
         }
         if (entry.softLimit > entry.hardLimit) {
@@ -158,8 +161,8 @@
         .and_then([](const nlohmann::json &json) -> tl::expected<catalogue_document, document_error> {
             catalogue_document document;
             document.revision = json.at("revision").get<std::uint64_t>();
-            std::ranges::transform(json.at("kinds"), std::back_inserter(document.kinds), entryFrom);
-            std::vector<document_problem> problems = crossChecked(document.kinds);
+            std::ranges::transform(json.at("kinds"), std::back_inserter(document.kinds), entryFromJson);
+            std::vector<document_problem> problems = crossFieldProblems(document.kinds);
             if (!problems.empty()) {
                 return tl::unexpected(document_error {std::move(problems)});
             }
@@ -171,7 +174,7 @@
 std::string writeCatalogue(const catalogue_document &document)
 {
     nlohmann::json json = {{"revision", document.revision}, {"kinds", nlohmann::json::array()}};
-    std::ranges::transform(document.kinds, std::back_inserter(json["kinds"]), jsonFrom);
+    std::ranges::transform(document.kinds, std::back_inserter(json["kinds"]), entryToJson);
     return json.dump();
 }
 
@@ -185,10 +188,10 @@
 {
     nlohmann::json json = {{"from_revision", delta.fromRevision},
                            {"revision", delta.revision},
-                           {"digest", hexOf(delta.digest)},
+                           {"digest", toHex(delta.digest)},
                            {"changed", nlohmann::json::array()},
                            {"removed", nlohmann::json::array()}};
-    std::ranges::transform(delta.changed, std::back_inserter(json["changed"]), jsonFrom);
+    std::ranges::transform(delta.changed, std::back_inserter(json["changed"]), entryToJson);
     std::ranges::transform(delta.removed, std::back_inserter(json["removed"]), &kind_name::value);
     return json.dump();
 }
@@ -199,8 +202,8 @@
         catalogue_delta delta;
         delta.fromRevision = json.at("from_revision").get<std::uint64_t>();
         delta.revision = json.at("revision").get<std::uint64_t>();
-        delta.digest = numberFromHex(json.at("digest").get<std::string>());
-        std::ranges::transform(json.at("changed"), std::back_inserter(delta.changed), entryFrom);
+        delta.digest = parseHex(json.at("digest").get<std::string>());
+        std::ranges::transform(json.at("changed"), std::back_inserter(delta.changed), entryFromJson);
         std::ranges::transform(json.at("removed"), std::back_inserter(delta.removed), [](const nlohmann::json &name) {
             return kind_name {name.get<std::string>()};
         });
--- a/libs/catalogue/src/store.cpp
+++ b/libs/catalogue/src/store.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string shown(const kind_entry *entry)
+std::string entryText(const kind_entry *entry)
 {
     if (entry == nullptr) {
         return "absent";
@@ -44,7 +44,7 @@
     if (!document) {
         return refuse(offer_verdict::RefusedInvalid, 0, source, toString(document.error()), now);
     }
-    return judge(*std::move(document), source, now);
+    return applyIfNewer(*std::move(document), source, now);
 }
 
 offer_verdict catalogue_store::offerDelta(const catalogue_delta &delta, std::string_view source, millis now)
@@ -66,12 +66,12 @@
     if (contentDigest(next) != delta.digest) {
         return offer_verdict::RefusedDelta;
     }
-    return judge(std::move(next), source, now);
+    return applyIfNewer(std::move(next), source, now);
 }
 
-offer_verdict catalogue_store::judge(catalogue_document document, std::string_view source, millis now)
+offer_verdict catalogue_store::applyIfNewer(catalogue_document document, std::string_view source, millis now)
 {
-    if (m_neverBack && document.revision < m_current->revision) {
+    if (m_refusesOlder && document.revision < m_current->revision) {
         return refuse(offer_verdict::RefusedOlder,
                       document.revision,
                       source,
@@ -79,8 +79,8 @@
                       now);
     }
     if (document.revision == m_current->revision) {
-        const bool same = contentDigest(document) == contentDigest(*m_current);
-        return same
+        const bool sameContent = contentDigest(document) == contentDigest(*m_current);
+        return sameContent
             ? offer_verdict::AlreadyInForce
             : refuse(offer_verdict::RefusedConflict, document.revision, source, "same revision, other content", now);
     }
@@ -95,7 +95,7 @@
 {
     const std::string reason = std::string(toString(verdict)) + " from " + std::string(source) + ": " + detail;
     if (reason == m_standingRefusal) {
-        return verdict; // Seen again on a later read; one audit line tells it.
+        return verdict; // A later read found the same fault again; the audit trail lists it once.
     }
     m_standingRefusal = reason;
     append({now, revision, verdict, std::string(source), {}, {}, {}, {}, std::move(detail)});
@@ -130,17 +130,18 @@
                 std::string(source),
                 name.value,
                 owner,
-                shown(before),
-                shown(after),
+                entryText(before),
+                entryText(after),
                 {}});
     }
     while (m_history.size() > historyCapacity) {
-        m_historyFrom = m_history.front().revision;
+        m_oldestDeltaBase = m_history.front().revision;
         m_history.pop_front();
     }
-    // The step into this revision may jump over several; a delta can only start where this store has been.
+    // The first publication can have any revision. The changes that led to it are unknown, so no delta can start from a
+    // lower revision.
     if (m_current->revision == 0) {
-        m_historyFrom = next.revision;
+        m_oldestDeltaBase = next.revision;
         m_history.clear();
     }
 }
@@ -155,7 +156,7 @@
 
 std::optional<catalogue_delta> catalogue_store::deltaSince(std::uint64_t revision) const
 {
-    if (revision < m_historyFrom || revision == 0) {
+    if (revision < m_oldestDeltaBase || revision == 0) {
         return std::nullopt;
     }
     catalogue_delta delta {revision, m_current->revision, contentDigest(*m_current), {}, {}};
