--- a/libs/settings/include/settings/settings.h
+++ b/libs/settings/include/settings/settings.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * The daemon's settings: one JSON document, checked before anything starts.
+ * The settings of the daemon: one JSON document, which is validated before any service starts.
  */
 
 #include <base/base.h>
@@ -18,74 +18,73 @@
 
 namespace chivelock {
 
-/** Where the process listens. */
+/** The addresses and limits of the listening sockets. */
 struct listen_settings {
-    std::string address; ///< IP number, the same as in the VM list
+    std::string address; ///< IP address, the same as in the VM list
     std::uint16_t httpPort = 0;
     std::uint16_t peerPort = 0;
     std::uint32_t httpThreads = 2;
     std::size_t maxRequestBytes = 65536;
 };
 
-/** Where the platform's documents are read. */
+/** How the documents of the platform are read. */
 struct platform_settings {
     std::string url; ///< such as http://10.0.0.2:8500
-    millis watchFor {10000}; ///< how long one watch waits
-    millis retryAfter {500}; ///< after a failed read, with jitter
+    millis watchFor {10000}; ///< how long the platform holds a watch request open
+    millis retryAfter {500}; ///< delay before the next attempt after a failed read, with jitter
 };
 
-/** Everything that one process is told. */
+/** The settings of a process that serves lookups, see entry/entry.h. */
 struct daemon_settings {
     vm_id vm;
     zone_name zone;
     listen_settings listen;
     platform_settings platform;
-    std::vector<std::string> extraPeerAddresses; ///< may connect besides the VM list
+    std::vector<std::string> extraPeerAddresses; ///< allowed to connect in addition to the addresses of the VM list
     log_level log = log_level::Info;
-    bool logAnswers = true; ///< one line for each lookup
-    std::size_t ringCapacity = 16384; ///< messages between two threads
+    bool logAnswers = true; ///< whether one line is logged for each lookup
+    std::size_t ringCapacity = 16384; ///< maximum number of messages queued between two threads
     entry_settings entry;
 };
 
-/** Reads and checks the text; gives each problem with path, value and what is allowed. */
+/** Parses and validates the text. The error lists each problem with its path, value and the permitted values. */
 [[nodiscard]] tl::expected<daemon_settings, document_error> readSettings(std::string_view text);
 
-/** An IP number with a port. */
+/** An IP address with a port. */
 struct listen_address {
     std::string address;
     std::uint16_t port = 0;
 };
 
-/** What a process is told that passes requests through to leafs, see gateway/gateway.h. */
+/** The settings of a process that forwards requests to leafs, see gateway/gateway.h. */
 struct gateway_daemon_settings {
     std::string vmName;
     zone_name zone;
     listen_address callers;
     listen_address readiness;
     std::optional<listen_address> metrics;
-    listen_address peers; ///< other processes of the fleet
-    std::uint16_t helperPort = 0; ///< for VMs that ask leafs for each other; the same on all
-    double cpuShare = 1; ///< of a core that this VM has
-    std::vector<std::string> seeds; ///< addresses of a few of them; may be stale
-    std::string storeAddress; ///< IP number and port
-    millis applyLimit {3000}; ///< from the store's word to a configuration in force everywhere
-    millis storeWait {900}; ///< how long the store holds a watch; bounds how long a lost answer goes unnoticed
+    listen_address peers; ///< for connections from other processes of the fleet
+    std::uint16_t helperPort = 0; ///< for work that other VMs delegate to this VM as a helper; the same on all VMs
+    double cpuShare = 1; ///< CPU capacity of this VM, in cores
+    std::vector<std::string> seeds; ///< addresses of a few other processes of the fleet; may be stale
+    std::string storeAddress; ///< IP address and port
+    millis applyLimit {3000}; ///< limit from the store's notification until a configuration is in force on all VMs
+    millis storeWait {900}; ///< how long the store holds a watch open; limits how long a lost answer goes unnoticed
     millis grace {6000}; ///< from SIGTERM to SIGKILL
-    std::size_t maxConnections = 1000; ///< of callers at a time
+    std::size_t maxConnections = 1000; ///< concurrent connections from callers
     std::uint32_t logLinesPerSecond = 500;
     log_level log = log_level::Info;
-    double retryRatio = 0.2; ///< extra sends for each request that the whole fleet may make to a service
-    double retrySlack = 10; ///< extra sends in a window besides
+    double retryRatio = 0.2; ///< extra sends per request that the whole fleet may make to a service
+    double retrySlack = 10; ///< extra sends that the whole fleet may make in each window in addition
     millis retryWindow {10000};
-    millis leafHeartbeat {1200}; ///< between two words of a leaf to the store
-    millis drainLimit {3000}; ///< from the store's word that a leaf leaves to the last request it gets
-    millis callerRoundTrip {6}; ///< between callers and this VM, there and back
-    millis quarantineHold {
-        600000}; ///< a request under which leafs ended is refused for so long before it is tried again
-    std::size_t quarantineEntries = 512; ///< requests of which it is kept that leafs ended under them
+    millis leafHeartbeat {1200}; ///< interval of the heartbeats that a leaf sends to the store
+    millis drainLimit {3000}; ///< limit from the store's notification that a leaf leaves to the last request sent to it
+    millis callerRoundTrip {6}; ///< network round-trip time between callers and this VM
+    millis quarantineHold {600000}; ///< how long a request that crashed leafs is refused before it is tried again
+    std::size_t quarantineEntries = 512; ///< maximum number of requests that are recorded as having crashed leafs
 };
 
-/** Reads and checks the text; gives each problem with path, value and what is allowed. */
+/** Parses and validates the text. The error lists each problem with its path, value and the permitted values. */
 [[nodiscard]] tl::expected<gateway_daemon_settings, document_error> readGatewaySettings(std::string_view text);
 
 } // namespace chivelock
--- a/libs/settings/src/gateway_settings.cpp
+++ b/libs/settings/src/gateway_settings.cpp
@@ -59,20 +59,21 @@
     return {text.substr(0, colon), static_cast<std::uint16_t>(std::stoul(text.substr(colon + 1)))};
 }
 
-millis seconds(const json &from)
+millis millisFromSeconds(const json &from)
 {
     constexpr double millisPerSecond = 1000;
     return millis(from.get<double>() * millisPerSecond);
 }
 
 /**
- * A reader that the store has left without a sign notices when its watch is not answered; then another must read and
- * tell all, within the time in which a configuration has to be in force. A third of it is for the notice.
+ * The default wait of a watch. A store reader that silently loses the store detects it only when its watch is not
+ * answered. Another reader must then read the store and update all VMs, still within the time limit for a configuration
+ * to be in force. About a third of that limit is for the detection.
  */
-millis waitWithin(millis apply)
+millis defaultStoreWait(millis applyLimit)
 {
-    constexpr double share = 0.3;
-    return apply * share;
+    constexpr double detectionShare = 0.3;
+    return applyLimit * detectionShare;
 }
 
 } // namespace
@@ -81,37 +82,37 @@
 {
     return parseChecked(text, gatewaySchema).map([](const json &document) {
         gateway_daemon_settings settings;
-        take(document, "vm", settings.vmName);
-        take(document, "zone", settings.zone.value);
+        readIfPresent(document, "vm", settings.vmName);
+        readIfPresent(document, "zone", settings.zone.value);
         const json &listen = document.at("listen");
         settings.callers = readAddress(listen.at("callers"));
         settings.readiness = readAddress(listen.at("readiness"));
         settings.peers = readAddress(listen.at("peers"));
-        take(document, "seeds", settings.seeds);
-        take(document, "cpu_share", settings.cpuShare);
-        take(listen, "helper_port", settings.helperPort);
+        readIfPresent(document, "seeds", settings.seeds);
+        readIfPresent(document, "cpu_share", settings.cpuShare);
+        readIfPresent(listen, "helper_port", settings.helperPort);
         if (listen.contains("metrics")) {
             settings.metrics = readAddress(listen.at("metrics"));
         }
         const json &limits = document.at("limits");
-        take(limits, "apply_ms", settings.applyLimit);
-        settings.storeWait = waitWithin(settings.applyLimit);
-        take(document.at("store"), "address", settings.storeAddress);
-        take(document.at("store"), "wait_ms", settings.storeWait);
-        settings.log = levelFrom(document.value("log", "info"));
-        take(document, "log_lines_per_s", settings.logLinesPerSecond);
-        take(limits, "retry_ratio", settings.retryRatio);
-        take(limits, "retry_slack", settings.retrySlack);
-        settings.retryWindow = seconds(limits.at("retry_window_s"));
-        take(limits, "drain_ms", settings.drainLimit);
-        settings.grace = seconds(limits.at("grace_s"));
-        take(limits, "leaf_heartbeat_ms", settings.leafHeartbeat);
-        take(limits, "connections", settings.maxConnections);
-        take(limits, "caller_round_trip_ms", settings.callerRoundTrip);
+        readIfPresent(limits, "apply_ms", settings.applyLimit);
+        settings.storeWait = defaultStoreWait(settings.applyLimit);
+        readIfPresent(document.at("store"), "address", settings.storeAddress);
+        readIfPresent(document.at("store"), "wait_ms", settings.storeWait);
+        settings.log = logLevelFromName(document.value("log", "info"));
+        readIfPresent(document, "log_lines_per_s", settings.logLinesPerSecond);
+        readIfPresent(limits, "retry_ratio", settings.retryRatio);
+        readIfPresent(limits, "retry_slack", settings.retrySlack);
+        settings.retryWindow = millisFromSeconds(limits.at("retry_window_s"));
+        readIfPresent(limits, "drain_ms", settings.drainLimit);
+        settings.grace = millisFromSeconds(limits.at("grace_s"));
+        readIfPresent(limits, "leaf_heartbeat_ms", settings.leafHeartbeat);
+        readIfPresent(limits, "connections", settings.maxConnections);
+        readIfPresent(limits, "caller_round_trip_ms", settings.callerRoundTrip);
         if (limits.contains("quarantine_s")) {
-            settings.quarantineHold = seconds(limits.at("quarantine_s"));
+            settings.quarantineHold = millisFromSeconds(limits.at("quarantine_s"));
         }
-        take(limits, "quarantine_entries", settings.quarantineEntries);
+        readIfPresent(limits, "quarantine_entries", settings.quarantineEntries);
         return settings;
     });
 }
--- a/libs/settings/src/read_settings.h
+++ b/libs/settings/src/read_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** @file How values are taken from a checked document; the defaults stand in the settings' structs alone. */
+/** @file Helpers that read values from a validated document. The defaults are declared only in the settings structs. */
 
 #include <base/base.h>
 
@@ -10,24 +10,24 @@
 
 namespace chivelock {
 
-/** Overwrites a setting if the document has it. */
+/** Overwrites @p setting if @p from has the key; otherwise the setting keeps its default. */
 template<typename value_type>
-void take(const nlohmann::json &from, const char *key, value_type &setting)
+void readIfPresent(const nlohmann::json &from, const char *key, value_type &setting)
 {
     if (from.contains(key)) {
         setting = from.at(key).get<value_type>();
     }
 }
 
-inline void take(const nlohmann::json &from, const char *key, millis &setting)
+inline void readIfPresent(const nlohmann::json &from, const char *key, millis &setting)
 {
     if (from.contains(key)) {
         setting = millis(from.at(key).get<double>());
     }
 }
 
-/** @param name one of the names that the schemas allow. */
-inline log_level levelFrom(const std::string &name)
+/** @param name one of the level names that the schemas permit. */
+inline log_level logLevelFromName(const std::string &name)
 {
     if (name == "debug") {
         return log_level::Debug;
--- a/libs/settings/src/settings.cpp
+++ b/libs/settings/src/settings.cpp
@@ -70,48 +70,48 @@
 
 using nlohmann::json;
 
-json section(const json &document, const char *key)
+json objectOrEmpty(const json &document, const char *key)
 {
     return document.value(key, json::object());
 }
 
-void readListen(const json &from, listen_settings &listen)
+void readListenSettings(const json &from, listen_settings &listen)
 {
-    take(from, "address", listen.address);
-    take(from, "http_port", listen.httpPort);
-    take(from, "peer_port", listen.peerPort);
-    take(from, "http_threads", listen.httpThreads);
-    take(from, "max_request_bytes", listen.maxRequestBytes);
+    readIfPresent(from, "address", listen.address);
+    readIfPresent(from, "http_port", listen.httpPort);
+    readIfPresent(from, "peer_port", listen.peerPort);
+    readIfPresent(from, "http_threads", listen.httpThreads);
+    readIfPresent(from, "max_request_bytes", listen.maxRequestBytes);
 }
 
-void readEntry(const json &document, entry_settings &entry)
+void readEntrySettings(const json &document, entry_settings &entry)
 {
-    const json stop = section(document, "stop");
-    take(stop, "lame_duck_ms", entry.lameDuck);
-    take(stop, "limit_ms", entry.stopLimit);
-    const json routing = section(document, "routing");
+    const json stop = objectOrEmpty(document, "stop");
+    readIfPresent(stop, "lame_duck_ms", entry.lameDuck);
+    readIfPresent(stop, "limit_ms", entry.stopLimit);
+    const json routing = objectOrEmpty(document, "routing");
     entry.root.direct = routing.value("mode", "runner") == "direct";
-    take(routing, "ack_timeout_ms", entry.root.ackTimeout);
-    take(routing, "avoid_stalled_ms", entry.root.avoidStalled);
-    take(routing, "max_lookups", entry.root.maxLookups);
-    const json leafs = section(document, "leafs");
-    take(leafs, "extra_in_flight", entry.runner.extraInFlight);
-    take(leafs, "hedging", entry.runner.hedging);
-    take(leafs, "hedge_quantile", entry.runner.hedgeQuantile);
-    take(leafs, "hedge_budget", entry.runner.hedgeBudget);
-    take(leafs, "max_hedges", entry.runner.maxHedges);
-    take(leafs, "retry_budget", entry.runner.retryBudget);
-    take(leafs, "queue_share", entry.runner.queueShare);
-    take(leafs, "ordinary_floor", entry.runner.ordinaryFloor);
-    take(leafs, "fresh_bound_ms", entry.runner.freshBound);
-    take(leafs, "probe_ms", entry.runner.probeInterval);
-    const json tickets = section(document, "tickets");
-    take(tickets, "capacity", entry.tickets.capacity);
-    take(tickets, "lifetime_ms", entry.tickets.lifetime);
+    readIfPresent(routing, "ack_timeout_ms", entry.root.ackTimeout);
+    readIfPresent(routing, "avoid_stalled_ms", entry.root.avoidStalled);
+    readIfPresent(routing, "max_lookups", entry.root.maxLookups);
+    const json leafs = objectOrEmpty(document, "leafs");
+    readIfPresent(leafs, "extra_in_flight", entry.runner.extraInFlight);
+    readIfPresent(leafs, "hedging", entry.runner.hedging);
+    readIfPresent(leafs, "hedge_quantile", entry.runner.hedgeQuantile);
+    readIfPresent(leafs, "hedge_budget", entry.runner.hedgeBudget);
+    readIfPresent(leafs, "max_hedges", entry.runner.maxHedges);
+    readIfPresent(leafs, "retry_budget", entry.runner.retryBudget);
+    readIfPresent(leafs, "queue_share", entry.runner.queueShare);
+    readIfPresent(leafs, "ordinary_floor", entry.runner.ordinaryFloor);
+    readIfPresent(leafs, "fresh_bound_ms", entry.runner.freshBound);
+    readIfPresent(leafs, "probe_ms", entry.runner.probeInterval);
+    const json tickets = objectOrEmpty(document, "tickets");
+    readIfPresent(tickets, "capacity", entry.tickets.capacity);
+    readIfPresent(tickets, "lifetime_ms", entry.tickets.lifetime);
 }
 
-/** A stop limit below the notice would cut the notice short without saying so. */
-std::optional<document_error> crossChecked(const daemon_settings &settings)
+/** Refuses a stop limit below the lame-duck time: it would silently shorten the lame-duck time. */
+std::optional<document_error> stopLimitProblem(const daemon_settings &settings)
 {
     if (settings.entry.lameDuck > settings.entry.stopLimit) {
         return document_error {{{"/stop/lame_duck_ms",
@@ -128,20 +128,20 @@
     return parseChecked(text, settingsSchema)
         .and_then([](const json &document) -> tl::expected<daemon_settings, document_error> {
             daemon_settings settings;
-            take(document, "vm", settings.vm.value);
-            take(document, "zone", settings.zone.value);
-            readListen(document.at("listen"), settings.listen);
+            readIfPresent(document, "vm", settings.vm.value);
+            readIfPresent(document, "zone", settings.zone.value);
+            readListenSettings(document.at("listen"), settings.listen);
             const json &platform = document.at("platform");
-            take(platform, "url", settings.platform.url);
-            take(platform, "watch_ms", settings.platform.watchFor);
-            take(platform, "retry_ms", settings.platform.retryAfter);
-            take(document, "extra_peer_addresses", settings.extraPeerAddresses);
-            settings.log = levelFrom(document.value("log", "info"));
-            take(document, "log_answers", settings.logAnswers);
-            take(document, "ring_capacity", settings.ringCapacity);
-            readEntry(document, settings.entry);
+            readIfPresent(platform, "url", settings.platform.url);
+            readIfPresent(platform, "watch_ms", settings.platform.watchFor);
+            readIfPresent(platform, "retry_ms", settings.platform.retryAfter);
+            readIfPresent(document, "extra_peer_addresses", settings.extraPeerAddresses);
+            settings.log = logLevelFromName(document.value("log", "info"));
+            readIfPresent(document, "log_answers", settings.logAnswers);
+            readIfPresent(document, "ring_capacity", settings.ringCapacity);
+            readEntrySettings(document, settings.entry);
             settings.entry.self = settings.vm;
-            if (std::optional<document_error> error = crossChecked(settings)) {
+            if (std::optional<document_error> error = stopLimitProblem(settings)) {
                 return tl::unexpected(*std::move(error));
             }
             return settings;
