--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -20,19 +20,20 @@
 std::string catalogueFor(const experiment &what)
 {
     const auto kind = [&what](const std::string &name) {
-        return json {{"name", name},
-                     {"owner", "bench"},
-                     {"class", name},
-                     {"service", "search"},
-                     {"fan_out", "all"},
-                     {"repeatable", true},
-                     {"whole_only", what.wholeOnly},
-                     {"min_coverage", what.wholeOnly ? 1.0 : 0.8},
-                     {"soft_limit_ms", what.wholeOnly ? what.hardLimit.ceiled() : what.hardLimit.ceiled() / 2},
-                     {"hard_limit_ms", what.hardLimit.ceiled()},
-                     {"max_in_flight", 1000000},
-                     {"max_per_second", 10000000},
-                     {"max_rows", 1}};
+        return json {
+            {"name", name},
+            {"owner", "bench"},
+            {"class", name},
+            {"service", "search"},
+            {"fan_out", "all"},
+            {"repeatable", true},
+            {"whole_only", what.requiresCompleteAnswer},
+            {"min_coverage", what.requiresCompleteAnswer ? 1.0 : 0.8},
+            {"soft_limit_ms", what.requiresCompleteAnswer ? what.hardLimit.ceiled() : what.hardLimit.ceiled() / 2},
+            {"hard_limit_ms", what.hardLimit.ceiled()},
+            {"max_in_flight", 1000000},
+            {"max_per_second", 10000000},
+            {"max_rows", 1}};
     };
     return json {{"revision", 1}, {"kinds", {kind("urgent"), kind("ordinary")}}}.dump();
 }
@@ -160,7 +161,7 @@
         runner_counters sum;
         for (std::size_t entry = 0; entry < m_what.entries; ++entry) {
             const runner_counters &one = m_fleet.core(entry).runnerCounters();
-            sum.firstTries += one.firstTries;
+            sum.firstSends += one.firstSends;
             sum.retries += one.retries;
             sum.hedges += one.hedges;
         }
@@ -173,7 +174,7 @@
             std::ranges::sort(one->latencies);
         }
         const double answered = std::max<double>(1, static_cast<double>(m_result.all.answered));
-        const double first = std::max<double>(1, static_cast<double>(after.firstTries - before.firstTries));
+        const double first = std::max<double>(1, static_cast<double>(after.firstSends - before.firstSends));
         const double extra = static_cast<double>(after.hedges - before.hedges + after.retries - before.retries);
         m_result.attemptsPerNeeded = 1 + extra / first;
         m_result.serviceMsPerAnswer = busy / answered;
--- a/bench/experiment.h
+++ b/bench/experiment.h
@@ -33,7 +33,7 @@
     service_model service;
     double urgentShare = 0.2;
     millis hardLimit {10000}; ///< long: the whole tail is seen
-    bool wholeOnly = true;
+    bool requiresCompleteAnswer = true;
     millis duration {30000};
     bool comeBack = false; ///< refused callers return once, when told
     runner_settings runner;
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -37,10 +37,10 @@
          [](experiment &e) { e.root.direct = true, e.runner.hedging = false, e.runner.chooser = uniform_choice(); }},
         {"runner, no hedge", [](experiment &e) { e.runner.hedging = false; }},
         {"runner, one hedge", [](experiment &e) { e.runner.maxHedges = 1; }},
-        {"runner, hedge onto idle", [](experiment &e) { e.runner.hedgeOnlyOntoIdle = true; }},
-        {"runner, extra at once", [](experiment &e) { e.runner.extraFromWaiting = 0; }},
-        {"runner, extra from 1", [](experiment &e) { e.runner.extraFromWaiting = 1; }},
-        {"runner, extra from 4", [](experiment &e) { e.runner.extraFromWaiting = 4; }},
+        {"runner, hedge onto idle", [](experiment &e) { e.runner.hedgeOnlyOntoFreeSlots = true; }},
+        {"runner, extra at once", [](experiment &e) { e.runner.extraMinWaitingPerSlot = 0; }},
+        {"runner, extra from 1", [](experiment &e) { e.runner.extraMinWaitingPerSlot = 1; }},
+        {"runner, extra from 4", [](experiment &e) { e.runner.extraMinWaitingPerSlot = 4; }},
         {"runner, hedge after queue", [](experiment &e) { e.runner.hedgeBeforeQueue = false; }},
         {"runner, no cancel", [](experiment &e) { e.runner.cancelLosers = false; }},
         {"runner, slots exactly", [](experiment &e) { e.runner.extraInFlight = 0; }},
@@ -72,14 +72,14 @@
     return {{"runner (default)", limited},
             {"direct", with([](experiment &e) { e.root.direct = true; })},
             {"no admission", with([](experiment &e) { e.runner.admission = false; })},
-            {"no precedence for returned", with([](experiment &e) { e.runner.returnedFirst = false; })},
-            {"refusal memory 15 ms", with([](experiment &e) { e.root.admissionMemory = millis(15); })},
+            {"no precedence for returned", with([](experiment &e) { e.runner.scheduledRetriesFirst = false; })},
+            {"refusal memory 15 ms", with([](experiment &e) { e.root.refusalCacheTtl = millis(15); })},
             {"no urgent first", with([](experiment &e) { e.runner.urgentFirst = false; })},
             {"no floor for ordinary", with([](experiment &e) { e.runner.ordinaryFloor = 1000000; })},
             {"no drop of expired", with([](experiment &e) { e.runner.dropExpired = false; })},
-            {"queue share 0.2", with([](experiment &e) { e.runner.queueShare = 0.2; })},
-            {"queue share 0.7", with([](experiment &e) { e.runner.queueShare = 0.7; })},
-            {"partial allowed", with([](experiment &e) { e.wholeOnly = false; })}};
+            {"queue share 0.2", with([](experiment &e) { e.runner.maxQueueWaitShare = 0.2; })},
+            {"queue share 0.7", with([](experiment &e) { e.runner.maxQueueWaitShare = 0.7; })},
+            {"partial allowed", with([](experiment &e) { e.requiresCompleteAnswer = false; })}};
 }
 
 std::vector<variant> hedgeVariants()
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -63,7 +63,7 @@
         const vm_list_document list = listOf(count);
         for (std::uint32_t id = 1; id <= count; ++id) {
             m_members.emplace_back(vm_id {id}, 1, membership_settings(), id);
-            m_members.back().onList(list);
+            m_members.back().onVmList(list);
         }
     }
 
@@ -71,20 +71,20 @@
     void round(const std::vector<bool> &dead)
     {
         m_now = m_now + step;
-        std::vector<heartbeat_send> arriving = std::exchange(m_wire, {});
-        for (heartbeat_send &send : arriving) {
+        std::vector<outgoing_heartbeat> arriving = std::exchange(m_wire, {});
+        for (outgoing_heartbeat &send : arriving) {
             receive(send, dead);
         }
         for (std::size_t index = 0; index < m_members.size(); ++index) {
             if (!dead[index]) {
-                for (heartbeat_send &send : m_members[index].tick({m_revisions[index], 1}, m_now)) {
+                for (outgoing_heartbeat &send : m_members[index].tick({m_revisions[index], 1}, m_now)) {
                     post(std::move(send));
                 }
             }
         }
     }
 
-    void receive(const heartbeat_send &send, const std::vector<bool> &dead)
+    void receive(const outgoing_heartbeat &send, const std::vector<bool> &dead)
     {
         const std::size_t to = send.to.value - 1;
         if (dead[to]) {
@@ -97,7 +97,7 @@
         }
     }
 
-    void post(heartbeat_send send)
+    void post(outgoing_heartbeat send)
     {
         ++messages;
         if (messages % sampleEvery == 0) {
@@ -129,7 +129,7 @@
 private:
     std::deque<membership> m_members;
     std::vector<std::uint64_t> m_revisions;
-    std::vector<heartbeat_send> m_wire;
+    std::vector<outgoing_heartbeat> m_wire;
     millis m_now {1000};
 };
 
--- a/fakes/documents.cpp
+++ b/fakes/documents.cpp
@@ -55,22 +55,25 @@
 
 std::string catalogueText(std::uint64_t revision, std::uint32_t maxRows)
 {
-    const auto kind =
-        [maxRows](const std::string &name, const std::string &service, bool all, bool repeatable, bool wholeOnly) {
-            return json {{"name", name},
-                         {"owner", "tests"},
-                         {"class", name == "partial" ? "ordinary" : "urgent"},
-                         {"service", service},
-                         {"fan_out", all ? "all" : "by_key"},
-                         {"repeatable", repeatable},
-                         {"whole_only", wholeOnly},
-                         {"min_coverage", wholeOnly ? 1.0 : 0.5},
-                         {"soft_limit_ms", wholeOnly ? 400 : 100},
-                         {"hard_limit_ms", 400},
-                         {"max_in_flight", 100000},
-                         {"max_per_second", 1000000},
-                         {"max_rows", maxRows}};
-        };
+    const auto kind = [maxRows](const std::string &name,
+                                const std::string &service,
+                                bool all,
+                                bool repeatable,
+                                bool requiresCompleteAnswer) {
+        return json {{"name", name},
+                     {"owner", "tests"},
+                     {"class", name == "partial" ? "ordinary" : "urgent"},
+                     {"service", service},
+                     {"fan_out", all ? "all" : "by_key"},
+                     {"repeatable", repeatable},
+                     {"whole_only", requiresCompleteAnswer},
+                     {"min_coverage", requiresCompleteAnswer ? 1.0 : 0.5},
+                     {"soft_limit_ms", requiresCompleteAnswer ? 400 : 100},
+                     {"hard_limit_ms", 400},
+                     {"max_in_flight", 100000},
+                     {"max_per_second", 1000000},
+                     {"max_rows", maxRows}};
+    };
     const json document = {{"revision", revision},
                            {"kinds",
                             json::array({kind("whole", "search", true, true, true),
--- a/fakes/fake_fleet.cpp
+++ b/fakes/fake_fleet.cpp
@@ -279,10 +279,10 @@
         fleet.sendProbe(entry, action);
     }
 
-    void operator()(const topology_wanted & /*action*/) const
+    void operator()(const topology_refresh & /*action*/) const
     {
     }
-    void operator()(const publication_noted & /*action*/) const
+    void operator()(const publication_verdict & /*action*/) const
     {
     }
 
--- a/fakes/scenarios.cpp
+++ b/fakes/scenarios.cpp
@@ -43,12 +43,12 @@
     options.entry.guards.checkSnapshot = leftOut != guard::Snapshot && leftOut != guard::Attempt;
     options.entry.runner.checkReplies = leftOut != guard::Snapshot;
     options.entry.guards.checkAttempt = leftOut != guard::Attempt;
-    options.entry.guards.dropDoubled = leftOut != guard::Doubled;
+    options.entry.guards.dropDuplicates = leftOut != guard::Doubled;
     options.checkNotAfter = leftOut != guard::NotAfter;
-    options.entry.tickets.onlyIssuer = leftOut != guard::TicketIssuer;
-    options.entry.catalogueNeverBack = leftOut != guard::NeverBack;
+    options.entry.tickets.checkIssuer = leftOut != guard::TicketIssuer;
+    options.entry.refuseOlderCatalogue = leftOut != guard::NeverBack;
     if (leftOut == guard::FreshSigns) {
-        options.entry.runner.freshBound = millis(100000);
+        options.entry.runner.maxHealthAge = millis(100000);
         options.entry.runner.probeInterval = millis(100000);
     }
     if (leftOut == guard::Notice) {
--- a/libs/catalogue/include/catalogue/catalogue.h
+++ b/libs/catalogue/include/catalogue/catalogue.h
@@ -40,7 +40,7 @@
     service_name service;
     fan_out shards = fan_out::AllShards;
     bool repeatable = true; ///< idempotent; if false, a lookup runs at most once and requires a ticket
-    bool wholeOnly = true; ///< if false, a partial answer may be given at the soft limit
+    bool requiresCompleteAnswer = true; ///< if false, a partial answer may be given at the soft limit
     double minCoverage = 1.0; ///< minimum fraction of the shards that a partial answer must cover
     millis softLimit; ///< time after which a partial answer is given if it is allowed
     millis hardLimit; ///< time after which the lookup fails
@@ -148,9 +148,9 @@
     }
 
     /** The reason of the latest refusal since the last accepted publication, for the status page; empty if none. */
-    [[nodiscard]] const std::string &standingRefusal() const
+    [[nodiscard]] const std::string &lastRefusal() const
     {
-        return m_standingRefusal;
+        return m_lastRefusal;
     }
 
 private:
@@ -169,7 +169,7 @@
     std::deque<change_record> m_history;
     std::uint64_t m_oldestDeltaBase = 0; ///< lowest revision from which a delta can be computed
     std::deque<audit_entry> m_audit;
-    std::string m_standingRefusal;
+    std::string m_lastRefusal;
     bool m_refusesOlder;
 };
 
--- a/libs/catalogue/src/document.cpp
+++ b/libs/catalogue/src/document.cpp
@@ -72,7 +72,7 @@
     entry.service = {json.at("service").get<std::string>()};
     entry.shards = json.at("fan_out") == "all" ? fan_out::AllShards : fan_out::ByKey;
     entry.repeatable = json.at("repeatable").get<bool>();
-    entry.wholeOnly = json.value("whole_only", true);
+    entry.requiresCompleteAnswer = json.value("whole_only", true);
     entry.minCoverage = json.value("min_coverage", 1.0);
     entry.softLimit = millis(json.at("soft_limit_ms").get<double>());
     entry.hardLimit = millis(json.at("hard_limit_ms").get<double>());
@@ -91,7 +91,7 @@
             {"service", entry.service.value},
             {"fan_out", entry.shards == fan_out::AllShards ? "all" : "by_key"},
             {"repeatable", entry.repeatable},
-            {"whole_only", entry.wholeOnly},
+            {"whole_only", entry.requiresCompleteAnswer},
             {"min_coverage", entry.minCoverage},
             {"soft_limit_ms", entry.softLimit.ceiled()},
             {"hard_limit_ms", entry.hardLimit.ceiled()},
@@ -139,7 +139,7 @@
         if (!entry.repeatable && entry.shards != fan_out::ByKey) {
             problems.push_back({path + "/fan_out", "all", "an unrepeatable kind goes to one shard: by_key"});
         }
-        if (entry.wholeOnly && entry.minCoverage < 1.0) {
+        if (entry.requiresCompleteAnswer && entry.minCoverage < 1.0) {
             problems.push_back(
                 {path + "/min_coverage", std::to_string(entry.minCoverage), "a whole_only kind covers all: 1"});
         }
--- a/libs/catalogue/src/store.cpp
+++ b/libs/catalogue/src/store.cpp
@@ -86,7 +86,7 @@
     }
     recordChanges(document, source, now);
     m_current = std::make_shared<catalogue_document>(std::move(document));
-    m_standingRefusal.clear();
+    m_lastRefusal.clear();
     return offer_verdict::Accepted;
 }
 
@@ -94,10 +94,10 @@
     offer_verdict verdict, std::uint64_t revision, std::string_view source, std::string detail, millis now)
 {
     const std::string reason = std::string(toString(verdict)) + " from " + std::string(source) + ": " + detail;
-    if (reason == m_standingRefusal) {
+    if (reason == m_lastRefusal) {
         return verdict; // A later read found the same fault again; the audit trail lists it once.
     }
-    m_standingRefusal = reason;
+    m_lastRefusal = reason;
     append({now, revision, verdict, std::string(source), {}, {}, {}, {}, std::move(detail)});
     return verdict;
 }
--- a/libs/catalogue/tests/test_catalogue.cpp
+++ b/libs/catalogue/tests/test_catalogue.cpp
@@ -53,7 +53,7 @@
     BOOST_TEST((store.offer(publicationJson(4, kindJson("b")), "platform", millis(2)) == offer_verdict::RefusedOlder));
     BOOST_TEST(store.current()->revision == 5);
     BOOST_TEST((store.audit().back().verdict == offer_verdict::RefusedOlder));
-    BOOST_TEST(!store.standingRefusal().empty());
+    BOOST_TEST(!store.lastRefusal().empty());
 }
 
 // Guards against processes that have the same revision in force but answer differently. It happens if two operators
@@ -78,7 +78,7 @@
     const auto refusals = std::ranges::count(store.audit(), offer_verdict::RefusedInvalid, &audit_entry::verdict);
     BOOST_TEST(refusals == 1);
     BOOST_TEST((store.offer(publicationJson(6, kindJson("a", 90)), "platform", millis(4)) == offer_verdict::Accepted));
-    BOOST_TEST(store.standingRefusal().empty());
+    BOOST_TEST(store.lastRefusal().empty());
 }
 
 BOOST_AUTO_TEST_CASE(audit_record_has_kind_owner_old_and_new_value)
--- a/libs/delegation/src/delegation_codec.cpp
+++ b/libs/delegation/src/delegation_codec.cpp
@@ -37,7 +37,7 @@
                                                           shardNames,
                                                           static_cast<std::uint32_t>(message.work.topRecords),
                                                           message.work.objective.micros(),
-                                                          message.work.speakIn.micros(),
+                                                          message.work.firstReportIn.micros(),
                                                           message.work.cutoffIn.micros(),
                                                           message.work.limitIn.micros(),
                                                           tried,
@@ -59,7 +59,7 @@
         for (const lost_shard &shard : message.progress.lost) {
             const auto leafId = builder.CreateString(shard.leafId);
             lost.push_back(delegation_wire::CreateLost(
-                builder, shard.shard, shard.mayHaveRun, shard.reachedLeaf, leafId, shard.leafEnded));
+                builder, shard.shard, shard.mayHaveRun, shard.reachedLeaf, leafId, shard.leafCrashed));
         }
         std::vector<Offset<delegation_wire::Pending>> pending;
         for (const pending_shard &shard : message.progress.pending) {
@@ -107,7 +107,7 @@
     message.work.route = textOrEmpty(from.route());
     message.work.topRecords = from.top_records();
     message.work.objective = millis::fromMicros(from.objective_micros());
-    message.work.speakIn = millis::fromMicros(from.speak_micros());
+    message.work.firstReportIn = millis::fromMicros(from.speak_micros());
     message.work.cutoffIn = millis::fromMicros(from.cutoff_micros());
     message.work.limitIn = millis::fromMicros(from.limit_micros());
     if (from.shards() != nullptr) {
--- a/libs/delegation/tests/test_delegation.cpp
+++ b/libs/delegation/tests/test_delegation.cpp
@@ -59,7 +59,7 @@
     BOOST_TEST(read.progress.records == progress.progress.records);
     BOOST_TEST(read.progress.lost[0].mayHaveRun);
     BOOST_TEST(!read.progress.lost[0].reachedLeaf);
-    BOOST_TEST(read.progress.lost[0].leafEnded);
+    BOOST_TEST(read.progress.lost[0].leafCrashed);
     BOOST_TEST(read.progress.pending[0].leafId == "leaf");
     BOOST_TEST(read.progress.last);
     BOOST_TEST(encodeAndDecode(delegate_cancel {9, true, false}).callerLeft);
--- a/libs/entry/include/entry/entry.h
+++ b/libs/entry/include/entry/entry.h
@@ -36,7 +36,7 @@
     runner_settings runner;
     root_settings root;
     root_guards guards; ///< for tests only
-    bool catalogueNeverBack = true; ///< refuses a catalogue with a lower revision; false only in tests
+    bool refuseOlderCatalogue = true; ///< refuses a catalogue with a lower revision; false only in tests
     ticket_settings tickets;
     millis lameDuck {2000}; ///< after the start of a stop, how long even an idle process keeps running
     millis stopLimit {10000}; ///< after the start of a stop, when lookups still running are answered and ended
@@ -70,7 +70,8 @@
     std::size_t shardsInHand = 0;
     std::size_t leafRequests = 0;
     std::size_t tickets = 0;
-    bool heardPeers = false; ///< whether a peer's heartbeat was received; if not, peers may hold newer documents
+    bool receivedPeerHeartbeat =
+        false; ///< whether a peer's heartbeat was received; if not, peers may hold newer documents
 };
 
 /** Action: the process may exit now. */
@@ -78,7 +79,7 @@
 };
 
 /** Action: log the verdict on an offered publication. */
-struct publication_noted {
+struct publication_verdict {
     std::string document; ///< catalogue, topology or vm_list
     std::string verdict;
     std::string detail;
@@ -86,11 +87,11 @@
 
 using entry_action = std::variant<peer_send,
                                   caller_answer,
-                                  topology_wanted,
+                                  topology_refresh,
                                   leaf_call,
                                   leaf_cancel,
                                   leaf_probe,
-                                  publication_noted,
+                                  publication_verdict,
                                   stop_finished>;
 
 /** Combines root, runner, membership, catalogue and tickets of one process. */
@@ -207,7 +208,7 @@
     catalogue_store m_catalogue;
     runner_engine m_runner;
     root_engine m_root;
-    ticket_book m_tickets;
+    ticket_table m_tickets;
     topology_ptr m_topology;
     vm_list_document m_vmList;
     std::string m_topologyRefusal;
--- a/libs/entry/src/entry_core.cpp
+++ b/libs/entry/src/entry_core.cpp
@@ -33,7 +33,7 @@
 entry_core::entry_core(entry_settings settings)
     : m_settings(std::move(settings))
     , m_members(m_settings.self, m_settings.incarnation, m_settings.members, m_settings.seed)
-    , m_catalogue(m_settings.catalogueNeverBack)
+    , m_catalogue(m_settings.refuseOlderCatalogue)
     , m_runner(m_settings.runner, m_settings.seed + 1)
     , m_root(m_settings.self, m_settings.incarnation, m_settings.root, m_settings.seed + 2, m_settings.guards)
     , m_tickets(m_settings.self, m_settings.incarnation, m_settings.ticketKey, m_settings.tickets)
@@ -160,7 +160,7 @@
     if (!document) {
         const std::string reason = toString(document.error());
         if (reason != m_topologyRefusal) {
-            out.emplace_back(publication_noted {"topology", "refused_invalid", reason});
+            out.emplace_back(publication_verdict {"topology", "refused_invalid", reason});
         }
         m_topologyRefusal = reason;
         return;
@@ -171,7 +171,7 @@
         return;
     }
     m_topology = std::make_shared<const topology_document>(*std::move(document));
-    out.emplace_back(publication_noted {"topology", "accepted", std::to_string(m_topology->revision)});
+    out.emplace_back(publication_verdict {"topology", "accepted", std::to_string(m_topology->revision)});
     m_runner.onTopology(m_topology);
     m_root.onTopology(m_topology, now, m_rootActions);
     runPendingActions(now, out);
@@ -183,7 +183,7 @@
     if (!document) {
         const std::string reason = toString(document.error());
         if (reason != m_vmListRefusal) {
-            out.emplace_back(publication_noted {"vm_list", "refused_invalid", reason});
+            out.emplace_back(publication_verdict {"vm_list", "refused_invalid", reason});
         }
         m_vmListRefusal = reason;
         return;
@@ -193,8 +193,8 @@
         return;
     }
     m_vmList = *std::move(document);
-    out.emplace_back(publication_noted {"vm_list", "accepted", std::to_string(m_vmList.revision)});
-    m_members.onList(m_vmList);
+    out.emplace_back(publication_verdict {"vm_list", "accepted", std::to_string(m_vmList.revision)});
+    m_members.onVmList(m_vmList);
 }
 
 void entry_core::tick(millis now, actions &out)
@@ -203,14 +203,14 @@
         m_startedAt = now;
     }
     m_lastTick = now;
-    for (heartbeat_send &send : m_members.tick(revisions(), now)) {
+    for (outgoing_heartbeat &send : m_members.tick(revisions(), now)) {
         out.emplace_back(peer_send {send.to, std::move(send.message)});
     }
     updateOwnedLeafs();
     m_runner.tick(now, m_runnerActions);
     m_root.tick(m_members, now, m_rootActions);
     failForwardedUses(std::nullopt, now, out);
-    m_tickets.forgetExpired(now);
+    m_tickets.eraseExpired(now);
     runPendingActions(now, out);
     advanceStop(now, out);
 }
@@ -248,14 +248,14 @@
     status.catalogueRevision = m_catalogue.current()->revision;
     status.topologyRevision = m_topology ? m_topology->revision : 0;
     status.vmListRevision = m_vmList.revision;
-    status.catalogueRefusal = m_catalogue.standingRefusal();
+    status.catalogueRefusal = m_catalogue.lastRefusal();
     status.topologyRefusal = m_topologyRefusal;
     status.members = m_members.members();
     status.lookupsInFlight = m_root.inFlight() + m_ticketedRuns.size();
     status.shardsInHand = m_runner.taskCount();
     status.leafRequests = m_runner.callCount();
     status.tickets = m_tickets.size();
-    status.heardPeers = m_receivedHeartbeat;
+    status.receivedPeerHeartbeat = m_receivedHeartbeat;
     const bool isOnlyMember = status.members.size() == 1;
     const bool peerRevisionTimedOut = m_startedAt && now - *m_startedAt >= m_settings.peerRevisionTimeout;
     if (m_stopBegan) {
@@ -290,7 +290,7 @@
         } else if (const auto *answer = std::get_if<caller_answer>(&action)) {
             out.emplace_back(*answer);
         } else {
-            out.emplace_back(topology_wanted {});
+            out.emplace_back(topology_refresh {});
         }
     }
 }
@@ -335,7 +335,7 @@
 void entry_core::handleHeartbeat(const heartbeat &message, millis now, actions &out)
 {
     m_receivedHeartbeat = true;
-    if (std::optional<heartbeat_send> ack = m_members.onHeartbeat(message, revisions(), now)) {
+    if (std::optional<outgoing_heartbeat> ack = m_members.onHeartbeat(message, revisions(), now)) {
         out.emplace_back(peer_send {ack->to, std::move(ack->message)});
     }
     std::ranges::for_each(message.leavingLeafs, [this](leaving_leaf leaf) { m_runner.onLeaving(leaf); });
@@ -385,9 +385,8 @@
         return;
     }
     const bool accepted = verdict == offer_verdict::Accepted;
-    const std::string detail =
-        accepted ? std::to_string(m_catalogue.current()->revision) : m_catalogue.standingRefusal();
-    out.emplace_back(publication_noted {"catalogue", std::string(toString(verdict)), detail});
+    const std::string detail = accepted ? std::to_string(m_catalogue.current()->revision) : m_catalogue.lastRefusal();
+    out.emplace_back(publication_verdict {"catalogue", std::string(toString(verdict)), detail});
     if (accepted) {
         m_root.onCatalogue(m_catalogue.current());
     }
@@ -428,7 +427,7 @@
     const bool lameDuckOver = now - *m_stopBegan >= m_settings.lameDuck;
     const bool stopLimitReached = now - *m_stopBegan >= m_settings.stopLimit;
     if (stopLimitReached && !idle) {
-        m_root.stopAll(now, m_rootActions);
+        m_root.finishAllLookups(now, m_rootActions);
         for (auto &[number, run] : m_ticketedRuns) {
             replyToRequester(
                 run, makeAnswer(run.request, lookup_outcome::Unknown, answer_reason::Stopping, millis()), now, out);
--- a/libs/entry/src/ticketed_lookups.cpp
+++ b/libs/entry/src/ticketed_lookups.cpp
@@ -43,7 +43,7 @@
         out.emplace_back(caller_answer {request.caller, std::move(answer)});
         return;
     }
-    if (parts->issuer == m_settings.self || !m_settings.tickets.onlyIssuer) {
+    if (parts->issuer == m_settings.self || !m_settings.tickets.checkIssuer) {
         useTicket({request, std::nullopt, 0, now, {}, {}, false}, now, out);
     } else {
         forwardTicketUse(request, parts->issuer, now, out);
--- a/libs/fleet/include/fleet/fleet.h
+++ b/libs/fleet/include/fleet/fleet.h
@@ -159,7 +159,7 @@
                                                            const member_changes &changes);
 
 /** Heartbeat that a follower sends to its upstream. */
-struct follow_beat {
+struct follow_heartbeat {
     std::uint32_t subtree = 1;
     member_changes changes; ///< of the subtree
 };
@@ -197,24 +197,29 @@
 };
 
 /** Sent in both directions: reports of VMs about leafs. */
-struct leaf_news {
+struct leaf_reports_message {
     std::vector<leaf_report> reports; ///< times are sent as ages and decoded as negative ages
 };
 
 /** Sent in both directions without delay: evidence of VMs about requests that crash leafs (queries of death). */
-struct request_news {
+struct request_evidence_message {
     std::vector<request_evidence> requests; ///< times are sent as ages and decoded as negative ages
 };
 
 /** Recent deletions, sent by both ends of a new link. The store does not report them to a process that starts reading.
  */
-struct past_deletions {
+struct recent_deletions {
     std::string prefix;
     std::vector<store_item> items;
 };
 
-using fleet_message =
-    std::variant<follow_request, follow_beat, upstream_state, store_items, leaf_news, request_news, past_deletions>;
+using fleet_message = std::variant<follow_request,
+                                   follow_heartbeat,
+                                   upstream_state,
+                                   store_items,
+                                   leaf_reports_message,
+                                   request_evidence_message,
+                                   recent_deletions>;
 
 /** Why bytes are not a message of the fleet. */
 enum class fleet_wire_error : std::uint8_t {
@@ -245,7 +250,7 @@
     millis drawInterval {60}; ///< between two random draws on whether to read the store; some round trips, so that a
                               ///< process that has just started reading is found before the next draw
     millis patience {450}; ///< after the root has lost the store, before this process starts to draw
-    millis seedPatience {240}; ///< the same for a seed; the other processes look for a reader at the seeds
+    millis seedStoreLostDelay {240}; ///< the same for a seed; the other processes look for a reader at the seeds
     std::size_t maxMembers = 4096; ///< in member lists: a fleet of some thousands, some hundred kilobytes of memory
     millis readerSearchInterval {3000}; ///< between a reader's searches for another reader to follow
     millis reportInterval {200}; ///< between messages with reports; each costs a packet, whatever its size
@@ -259,12 +264,12 @@
 };
 
 /** Close a connection. */
-struct hang_up_action {
+struct close_link_action {
     link_id link = 0;
 };
 
 /** Send the same message on each of these connections. */
-struct tell_action {
+struct send_message_action {
     std::vector<link_id> links;
     fleet_message message;
 };
@@ -275,7 +280,7 @@
 };
 
 /** Store changes for use by this process. */
-struct news_action {
+struct store_changes_action {
     std::string prefix;
     std::vector<store_item> items;
 };
@@ -290,34 +295,34 @@
     std::vector<leaf_report> reports;
 };
 
-/** Evidence about requests that another process sent; what is new here goes to @ref fleet_node::tellRequests. */
+/** Evidence about requests that another process sent; what is new here goes to @ref fleet_node::sendRequestEvidence. */
 struct requests_action {
     link_id from = 0;
     std::vector<request_evidence> requests;
 };
 
-/** A process has joined at the link: pass all evidence about requests to @ref fleet_node::greet. */
-struct greet_action {
+/** A process has joined at the link: pass all evidence about requests to @ref fleet_node::sendAllRequestEvidence. */
+struct link_joined_action {
     link_id link = 0;
 };
 
 /** Log event: this process changed its place in the tree or its upstream, or rejected a delta. */
-struct tree_note_action {
+struct tree_event_action {
     std::string_view event;
     std::string about;
     millis input; ///< time since the last message of the upstream; zero for events without one
 };
 
 using fleet_action = std::variant<dial_action,
-                                  hang_up_action,
-                                  tell_action,
+                                  close_link_action,
+                                  send_message_action,
                                   read_action,
-                                  news_action,
+                                  store_changes_action,
                                   members_action,
                                   reports_action,
                                   requests_action,
-                                  greet_action,
-                                  tree_note_action>;
+                                  link_joined_action,
+                                  tree_event_action>;
 
 /** State machine of this process's place in the tree. */
 class fleet_node
@@ -343,16 +348,16 @@
     void onStoreState(std::string_view prefix, bool ok, millis now);
 
     /** This process's store reader has delivered all changes that the store accepted up to @p asOf. */
-    void onStoreCurrent(millis asOf, millis now);
+    void onStoreFreshness(millis asOf, millis now);
 
     /** Queues reports about leafs by this process; they are sent to the fleet with the next tick. */
     void report(std::span<const leaf_report> reports);
 
     /** Sends evidence about requests to the fleet without delay. @param except link that it came from; 0 for none. */
-    void tellRequests(std::span<const request_evidence> requests, link_id except, millis now);
+    void sendRequestEvidence(std::span<const request_evidence> requests, link_id except, millis now);
 
     /** Sends all evidence about requests to one process. */
-    void greet(link_id link, std::span<const request_evidence> requests, millis now);
+    void sendAllRequestEvidence(link_id link, std::span<const request_evidence> requests, millis now);
 
     /**
      * Prepares the shutdown of this process, which still serves its callers until it exits. Followers are dropped, and
@@ -387,7 +392,7 @@
      * since it may be cut off itself, and does not assume that missing entries have expired. Once unavailable, the
      * store stays so until it has answered again.
      */
-    [[nodiscard]] bool storeInTrouble() const
+    [[nodiscard]] bool isStoreUnavailable() const
     {
         return m_storeUnavailable;
     }
@@ -406,7 +411,7 @@
      * Whether another process sent a message recently. If none did, an unresponsive store may only be unreachable from
      * this process.
      */
-    [[nodiscard]] bool hearsPeers(millis now) const;
+    [[nodiscard]] bool hasResponsivePeer(millis now) const;
 
     /** @return the current or last upstream; empty before the first. */
     [[nodiscard]] const std::string &upstreamAddress() const
@@ -483,7 +488,7 @@
     void dialReaderIfNeeded(const follow_request &request);
     [[nodiscard]] bool mayFollow(const follow_request &request, millis now) const;
     [[nodiscard]] std::vector<std::string> referralsFor(const follow_request &request) const;
-    void onHeartbeat(link_id link, const follow_beat &heartbeat, millis now);
+    void onHeartbeat(link_id link, const follow_heartbeat &heartbeat, millis now);
     void sendStateToFollowers(millis now);
     void recordTick(millis now);
     void updateStoreAvailability(millis now);
@@ -500,12 +505,12 @@
     void forwardItems(store_items items, std::vector<store_item> newItems);
     [[nodiscard]] std::vector<item_patch> extractPatches(std::string_view prefix, std::vector<store_item> &items) const;
 
-    void onRecentDeletions(link_id link, const past_deletions &message);
+    void onRecentDeletions(link_id link, const recent_deletions &message);
     void sendRecentDeletions(link_id link);
     void recordDeletions(const std::string &prefix, std::span<const store_item> newItems);
     void dropExpiredDeletions();
-    void onLeafReports(link_id link, leaf_news message, millis now);
-    void onRequestEvidence(link_id link, request_news message, millis now);
+    void onLeafReports(link_id link, leaf_reports_message message, millis now);
+    void onRequestEvidence(link_id link, request_evidence_message message, millis now);
     [[nodiscard]] bool isNeighbour(link_id link) const;
     void queueReport(const leaf_report &report, link_id from);
     void sendReports(millis now);
@@ -543,7 +548,7 @@
     millis m_nextHeartbeat;
     millis m_tickAt;
     millis m_previousTickAt; ///< the tick before the last; a message handled now arrived after it
-    bool m_storeUnavailable = false; ///< see @ref storeInTrouble
+    bool m_storeUnavailable = false; ///< see @ref isStoreUnavailable
     millis m_storeLostSince = millis::never(); ///< no process upstream, nor this one, reads the store
     millis m_storeUnavailableAt = millis() - millis::never(); ///< when the store was last seen unavailable
     millis m_currentAsOf = millis() - millis::never();
--- a/libs/fleet/src/fleet_codec.cpp
+++ b/libs/fleet/src/fleet_codec.cpp
@@ -78,7 +78,7 @@
                         .Union());
     }
 
-    Offset<fleet_wire::Envelope> operator()(const follow_beat &message) const
+    Offset<fleet_wire::Envelope> operator()(const follow_heartbeat &message) const
     {
         const auto joined = membersOf(builder, message.changes.joined);
         const auto left = membersOf(builder, message.changes.left);
@@ -108,7 +108,7 @@
                         .Union());
     }
 
-    Offset<fleet_wire::Envelope> operator()(const past_deletions &message) const
+    Offset<fleet_wire::Envelope> operator()(const recent_deletions &message) const
     {
         const auto prefix = builder.CreateString(message.prefix);
         const auto all = itemsOf(message.items);
@@ -124,7 +124,7 @@
                     fleet_wire::CreateItems(builder, prefix, message.whole, message.revision, all, patches).Union());
     }
 
-    Offset<fleet_wire::Envelope> operator()(const leaf_news &message) const
+    Offset<fleet_wire::Envelope> operator()(const leaf_reports_message &message) const
     {
         std::vector<fleet_wire::Report> reports;
         for (const leaf_report &one : message.reports) {
@@ -138,12 +138,12 @@
         return wrap(fleet_wire::Message::Reports, fleet_wire::CreateReports(builder, all).Union());
     }
 
-    Offset<fleet_wire::Envelope> operator()(const request_news &message) const
+    Offset<fleet_wire::Envelope> operator()(const request_evidence_message &message) const
     {
         std::vector<Offset<fleet_wire::Request>> requests;
         for (const request_evidence &one : message.requests) {
             std::vector<fleet_wire::LeafEnd> ends;
-            for (const leaf_end &end : one.ends) {
+            for (const leaf_crash &end : one.ends) {
                 ends.emplace_back(end.attempt, end.leaf, ageOf(end.at), end.alone);
             }
             const auto all = builder.CreateVectorOfStructs(ends);
@@ -233,7 +233,7 @@
     return message;
 }
 
-follow_beat readHeartbeat(const fleet_wire::Beat &from)
+follow_heartbeat readHeartbeat(const fleet_wire::Beat &from)
 {
     return {from.subtree(), {readMembers(from.joined()), readMembers(from.left())}};
 }
@@ -265,9 +265,9 @@
     return message;
 }
 
-leaf_news readReports(const fleet_wire::Reports &from)
+leaf_reports_message readReports(const fleet_wire::Reports &from)
 {
-    leaf_news message;
+    leaf_reports_message message;
     if (from.reports() != nullptr) {
         for (const auto *one : *from.reports()) {
             message.reports.push_back({one->leaf(),
@@ -280,9 +280,9 @@
     return message;
 }
 
-request_news readRequests(const fleet_wire::Requests &from)
+request_evidence_message readRequests(const fleet_wire::Requests &from)
 {
-    request_news message;
+    request_evidence_message message;
     if (from.requests() == nullptr) {
         return message;
     }
@@ -384,7 +384,7 @@
         return readRequests(*envelope.message_as_Requests());
     case fleet_wire::Message::Deletions: {
         const fleet_wire::Deletions &from = *envelope.message_as_Deletions();
-        return past_deletions {textOf(from.prefix()), readItemList(from.items())};
+        return recent_deletions {textOf(from.prefix()), readItemList(from.items())};
     }
     case fleet_wire::Message::Packed:
         return mayBeCompressed ? readCompressed(*envelope.message_as_Packed())
--- a/libs/fleet/src/fleet_deletions.cpp
+++ b/libs/fleet/src/fleet_deletions.cpp
@@ -44,7 +44,7 @@
 {
     dropExpiredDeletions();
     for (const auto &[prefix, view] : m_views) {
-        past_deletions message {prefix, {}};
+        recent_deletions message {prefix, {}};
         for (const recorded_deletion &one : m_recentDeletions) {
             if (one.prefix == prefix) {
                 message.items.push_back(one.item);
@@ -56,7 +56,7 @@
     }
 }
 
-void fleet_node::onRecentDeletions(link_id link, const past_deletions &message)
+void fleet_node::onRecentDeletions(link_id link, const recent_deletions &message)
 {
     const auto view = m_views.find(message.prefix);
     if (!isNeighbour(link) || view == m_views.end()) {
@@ -67,14 +67,14 @@
         return;
     }
     recordDeletions(message.prefix, newItems);
-    past_deletions rest {message.prefix, {}};
+    recent_deletions rest {message.prefix, {}};
     std::ranges::copy_if(newItems, std::back_inserter(rest.items), &store_item::deleted);
     std::vector<link_id> links = neighbours();
     std::erase(links, link);
     if (!links.empty()) {
-        m_actions.emplace_back(tell_action {std::move(links), std::move(rest)});
+        m_actions.emplace_back(send_message_action {std::move(links), std::move(rest)});
     }
-    m_actions.emplace_back(news_action {message.prefix, std::move(newItems)});
+    m_actions.emplace_back(store_changes_action {message.prefix, std::move(newItems)});
 }
 
 } // namespace chivelock
--- a/libs/fleet/src/fleet_followers.cpp
+++ b/libs/fleet/src/fleet_followers.cpp
@@ -105,7 +105,7 @@
     acceptance.members = *m_members;
     sendMessage(link, std::move(acceptance));
     // Before the configuration, since the follower serves callers once it has that.
-    m_actions.emplace_back(greet_action {link});
+    m_actions.emplace_back(link_joined_action {link});
     sendMissingItems(link, request);
     sendRecentDeletions(link);
 }
@@ -129,7 +129,7 @@
     }
 }
 
-void fleet_node::onHeartbeat(link_id link, const follow_beat &heartbeat, millis now)
+void fleet_node::onHeartbeat(link_id link, const follow_heartbeat &heartbeat, millis now)
 {
     const auto found = m_followers.find(link);
     if (found == m_followers.end()) {
@@ -147,7 +147,7 @@
     m_subtreeChanged = false;
     if (m_phase == phase::Following) {
         auto members = std::make_shared<const std::vector<fleet_member>>(subtreeMembers());
-        sendMessage(m_upstream, follow_beat {subtree(), memberChangesBetween(*m_membersSentUpstream, *members)});
+        sendMessage(m_upstream, follow_heartbeat {subtree(), memberChangesBetween(*m_membersSentUpstream, *members)});
         m_membersSentUpstream = std::move(members);
     } else if (m_phase == phase::Reading) {
         recordFleetSize(subtree(), now);
@@ -182,7 +182,7 @@
         state.starting = state.starting || m_phase == phase::Seeking;
         state.currentAsOf = canConfirmFreshness() ? std::optional(m_currentAsOf - now) : std::nullopt;
         state.changes = knownMembers == m_members ? member_changes() : memberChangesBetween(*knownMembers, *m_members);
-        m_actions.emplace_back(tell_action {std::move(links), std::move(state)});
+        m_actions.emplace_back(send_message_action {std::move(links), std::move(state)});
     }
 }
 
@@ -191,7 +191,7 @@
     const millis limit = m_settings.heartbeatInterval * followerTimeoutHeartbeats;
     for (auto at = m_followers.begin(); at != m_followers.end();) {
         if (now - at->second.receivedAt > limit) {
-            m_actions.emplace_back(hang_up_action {at->first});
+            m_actions.emplace_back(close_link_action {at->first});
             at = m_followers.erase(at);
             m_subtreeChanged = true;
         } else {
--- a/libs/fleet/src/fleet_freshness.cpp
+++ b/libs/fleet/src/fleet_freshness.cpp
@@ -6,7 +6,7 @@
 
 namespace chivelock {
 
-void fleet_node::onStoreCurrent(millis asOf, millis now)
+void fleet_node::onStoreFreshness(millis asOf, millis now)
 {
     if (m_phase == phase::Reading) {
         advanceFreshness(asOf, now);
@@ -49,7 +49,7 @@
     const bool answers =
         follows ? m_upstreamState.storeOk && !m_upstreamState.starting : m_phase == phase::Reading && ownStoreOk();
     m_storeLostSince = storeOk() ? millis::never() : std::min(m_storeLostSince, now);
-    const bool lost = m_storeLostSince + unavailableAfter <= now && hearsPeers(now);
+    const bool lost = m_storeLostSince + unavailableAfter <= now && hasResponsivePeer(now);
     m_storeUnavailable = !answers && (m_storeUnavailable || lost);
     m_storeUnavailableAt = m_storeUnavailable ? now : m_storeUnavailableAt;
 }
@@ -57,7 +57,7 @@
 /** Whether an entry that is missing now may have expired only because the store was unavailable. */
 bool fleet_node::mayHaveExpiredEntries() const
 {
-    return m_tickAt - m_storeUnavailableAt < lapseEcho;
+    return m_tickAt - m_storeUnavailableAt < outageExpiryWindow;
 }
 
 } // namespace chivelock
--- a/libs/fleet/src/fleet_node.cpp
+++ b/libs/fleet/src/fleet_node.cpp
@@ -39,7 +39,7 @@
 void fleet_node::leave(millis now)
 {
     m_leaving = true;
-    const auto closeLink = [this](link_id link) { m_actions.emplace_back(hang_up_action {link}); };
+    const auto closeLink = [this](link_id link) { m_actions.emplace_back(close_link_action {link}); };
     std::ranges::for_each(m_followers, closeLink, [](const auto &one) { return one.first; });
     std::ranges::for_each(m_waiting, closeLink, &waiting_follower::link);
     m_followers.clear();
@@ -53,17 +53,17 @@
 {
     if (auto *request = std::get_if<follow_request>(&message)) {
         onFollow(link, std::move(*request), now);
-    } else if (const auto *heartbeat = std::get_if<follow_beat>(&message)) {
+    } else if (const auto *heartbeat = std::get_if<follow_heartbeat>(&message)) {
         onHeartbeat(link, *heartbeat, now);
     } else if (const auto *state = std::get_if<upstream_state>(&message)) {
         onState(link, *state, now);
     } else if (auto *items = std::get_if<store_items>(&message)) {
         onItems(link, std::move(*items), now);
-    } else if (const auto *deletions = std::get_if<past_deletions>(&message)) {
+    } else if (const auto *deletions = std::get_if<recent_deletions>(&message)) {
         onRecentDeletions(link, *deletions);
-    } else if (auto *reports = std::get_if<leaf_news>(&message)) {
+    } else if (auto *reports = std::get_if<leaf_reports_message>(&message)) {
         onLeafReports(link, std::move(*reports), now);
-    } else if (auto *requests = std::get_if<request_news>(&message)) {
+    } else if (auto *requests = std::get_if<request_evidence_message>(&message)) {
         onRequestEvidence(link, std::move(*requests), now);
     }
 }
@@ -131,7 +131,7 @@
     return now < m_sizeEstimateUntil ? std::max(seen, initialSizeEstimate) : seen;
 }
 
-bool fleet_node::hearsPeers(millis now) const
+bool fleet_node::hasResponsivePeer(millis now) const
 {
     const millis late = m_settings.heartbeatInterval * 2;
     if (m_phase == phase::Following) {
@@ -152,7 +152,7 @@
 
 void fleet_node::sendMessage(link_id link, fleet_message message)
 {
-    m_actions.emplace_back(tell_action {{link}, std::move(message)});
+    m_actions.emplace_back(send_message_action {{link}, std::move(message)});
 }
 
 void fleet_node::recordFleetSize(std::uint32_t size, millis now)
@@ -166,7 +166,7 @@
 
 void fleet_node::addLogEvent(std::string_view event, std::string about, millis input)
 {
-    m_actions.emplace_back(tree_note_action {event, std::move(about), input});
+    m_actions.emplace_back(tree_event_action {event, std::move(about), input});
 }
 
 } // namespace chivelock
--- a/libs/fleet/src/fleet_reports.cpp
+++ b/libs/fleet/src/fleet_reports.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-void fleet_node::onLeafReports(link_id link, leaf_news message, millis now)
+void fleet_node::onLeafReports(link_id link, leaf_reports_message message, millis now)
 {
     if (!isNeighbour(link)) {
         return;
@@ -63,7 +63,7 @@
     chosen.resize(std::min(chosen.size(), m_settings.maxReportsPerMessage));
     std::ranges::for_each(chosen, [&](const queued_report &one) { m_queuedReports.erase(one.report.leaf); });
     for (const link_id link : neighbours()) {
-        leaf_news message;
+        leaf_reports_message message;
         for (const queued_report &one : chosen) {
             if (one.from != link) {
                 message.reports.push_back(one.report);
--- a/libs/fleet/src/fleet_requests.cpp
+++ b/libs/fleet/src/fleet_requests.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 /** Converts the times to negative ages, as the codec expects them. */
-request_news withWireAges(std::span<const request_evidence> requests, millis now)
+request_evidence_message withWireAges(std::span<const request_evidence> requests, millis now)
 {
-    request_news message;
+    request_evidence_message message;
     message.requests.assign(requests.begin(), requests.end());
     for (request_evidence &one : message.requests) {
         one.answeredAt = one.answeredAt - now;
-        std::ranges::for_each(one.ends, [&](leaf_end &end) { end.at = end.at - now; });
+        std::ranges::for_each(one.ends, [&](leaf_crash &end) { end.at = end.at - now; });
     }
     return message;
 }
@@ -34,28 +34,28 @@
     return upstream || m_followers.contains(link);
 }
 
-void fleet_node::onRequestEvidence(link_id link, request_news message, millis now)
+void fleet_node::onRequestEvidence(link_id link, request_evidence_message message, millis now)
 {
     if (!isNeighbour(link)) {
         return;
     }
     for (request_evidence &one : message.requests) {
         one.answeredAt = one.answeredAt + now;
-        std::ranges::for_each(one.ends, [&](leaf_end &end) { end.at = end.at + now; });
+        std::ranges::for_each(one.ends, [&](leaf_crash &end) { end.at = end.at + now; });
     }
     m_actions.emplace_back(requests_action {link, std::move(message.requests)});
 }
 
-void fleet_node::tellRequests(std::span<const request_evidence> requests, link_id except, millis now)
+void fleet_node::sendRequestEvidence(std::span<const request_evidence> requests, link_id except, millis now)
 {
     std::vector<link_id> links = neighbours();
     std::erase(links, except);
     if (!requests.empty() && !links.empty()) {
-        m_actions.emplace_back(tell_action {std::move(links), withWireAges(requests, now)});
+        m_actions.emplace_back(send_message_action {std::move(links), withWireAges(requests, now)});
     }
 }
 
-void fleet_node::greet(link_id link, std::span<const request_evidence> requests, millis now)
+void fleet_node::sendAllRequestEvidence(link_id link, std::span<const request_evidence> requests, millis now)
 {
     if (!requests.empty() && isNeighbour(link)) {
         sendMessage(link, withWireAges(requests, now));
--- a/libs/fleet/src/fleet_upstream.cpp
+++ b/libs/fleet/src/fleet_upstream.cpp
@@ -117,7 +117,7 @@
 {
     for (const auto &[link, one] : m_candidates) {
         if (link != except) {
-            m_actions.emplace_back(hang_up_action {link});
+            m_actions.emplace_back(close_link_action {link});
         }
     }
     m_candidates.clear();
@@ -207,7 +207,7 @@
         return; // the candidate sends its next state without being asked; another request would only delay it
     }
     const std::vector<std::string> referrals = state.accepted ? std::vector<std::string>() : state.referrals;
-    m_actions.emplace_back(hang_up_action {link});
+    m_actions.emplace_back(close_link_action {link});
     m_candidates.erase(link);
     const std::size_t start = referrals.empty() ? 0 : m_random.below(referrals.size());
     for (std::size_t at = 0; at < std::min(maxReferralsPerRefusal, referrals.size()); ++at) {
@@ -226,7 +226,7 @@
     if (m_phase == phase::Reading) {
         m_actions.emplace_back(read_action {false});
     } else if (m_phase == phase::Following) {
-        m_actions.emplace_back(hang_up_action {m_upstream});
+        m_actions.emplace_back(close_link_action {m_upstream});
     }
     m_phase = phase::Following;
     m_starting = false;
@@ -238,7 +238,7 @@
     recordFleetSize(state.fleetSize, now);
     updateMembers(state);
     addLogEvent("follows", m_upstreamAddress, millis());
-    m_actions.emplace_back(greet_action {link});
+    m_actions.emplace_back(link_joined_action {link});
     sendRecentDeletions(link);
     sendStateToFollowers(now);
     processWaitingRequests(now);
@@ -247,7 +247,7 @@
 void fleet_node::dropUpstream(std::string_view why, millis now)
 {
     addLogEvent("lost_upstream", m_upstreamAddress + " " + std::string(why), now - m_upstreamReceivedAt);
-    m_actions.emplace_back(hang_up_action {m_upstream});
+    m_actions.emplace_back(close_link_action {m_upstream});
     m_upstream = 0;
     startSearch(now);
 }
@@ -280,7 +280,7 @@
     }
     if (m_upstreamStoreLostSince == millis::never()) {
         m_upstreamStoreLostSince = now;
-        m_nextDraw = now + (isSeed() ? m_settings.seedPatience : m_settings.patience);
+        m_nextDraw = now + (isSeed() ? m_settings.seedStoreLostDelay : m_settings.patience);
     }
     drawToReplaceReader(now);
 }
@@ -296,7 +296,7 @@
         isSeed() ? seedReadProbability : expectedReadersPerDraw / static_cast<double>(fleetSize(now));
     for (; m_phase == phase::Following && now >= m_nextDraw; m_nextDraw = m_nextDraw + m_settings.drawInterval) {
         if (m_random.uniform() < readProbability) {
-            m_actions.emplace_back(hang_up_action {m_upstream});
+            m_actions.emplace_back(close_link_action {m_upstream});
             m_previousReader = m_upstreamState.path.empty() ? std::string() : m_upstreamState.path.front();
             becomeReader("store_lost_above", now);
         }
--- a/libs/fleet/tests/fleet_world.h
+++ b/libs/fleet/tests/fleet_world.h
@@ -240,21 +240,21 @@
                        bool alone)
     {
         simulated_process &process = m_processes[index];
-        process.ledger.addEnds(key, 0, attempt, leafs, alone, m_now);
+        process.ledger.recordCrashes(key, 0, attempt, leafs, alone, m_now);
         sendRequestEvidence(index);
     }
 
     void recordAnswer(std::size_t index, const request_fingerprint &key)
     {
-        m_processes[index].ledger.addAnswer(key, m_now);
+        m_processes[index].ledger.recordAnswer(key, m_now);
         sendRequestEvidence(index);
     }
 
     /** @return the number of running nodes that assign this quarantine state to the request. */
-    [[nodiscard]] std::size_t countInQuarantineState(const request_fingerprint &key, request_standing state) const
+    [[nodiscard]] std::size_t countInQuarantineState(const request_fingerprint &key, quarantine_state state) const
     {
         return countNodes(
-            [&](const simulated_process &process) { return process.ledger.standingOf(key, m_now) == state; });
+            [&](const simulated_process &process) { return process.ledger.quarantineStateOf(key, m_now) == state; });
     }
 
     void clearMissedEvidence()
@@ -510,7 +510,7 @@
             if (isRunning(index, incarnation) && m_processes[index].reading) {
                 runOnProcessor(index, bytes, [this, index, items, revision, currentAsOf] {
                     handleStoreResponse(index, items, revision);
-                    m_processes[index].node->onStoreCurrent(currentAsOf, m_now);
+                    m_processes[index].node->onStoreFreshness(currentAsOf, m_now);
                 });
             }
         });
@@ -524,7 +524,7 @@
             && m_now - process.watchStartedAt >= storeWatchTimeout) {
             const millis watchStart = std::exchange(process.watchStartedAt, m_now);
             runOnProcessor(
-                index, 0, [this, index, watchStart] { m_processes[index].node->onStoreCurrent(watchStart, m_now); });
+                index, 0, [this, index, watchStart] { m_processes[index].node->onStoreFreshness(watchStart, m_now); });
         }
     }
 
@@ -607,7 +607,7 @@
         });
     }
 
-    void perform(std::size_t index, const tell_action &action)
+    void perform(std::size_t index, const send_message_action &action)
     {
         fleet_message message = action.message;
         if (auto *items = std::get_if<store_items>(&message)) {
@@ -640,7 +640,7 @@
         });
     }
 
-    void perform(std::size_t index, const hang_up_action &action)
+    void perform(std::size_t index, const close_link_action &action)
     {
         closeLink(index, action.link);
     }
@@ -675,7 +675,7 @@
         }
     }
 
-    void perform(std::size_t index, const news_action &action)
+    void perform(std::size_t index, const store_changes_action &action)
     {
         for (const store_item &item : action.items) {
             std::string &values = m_processes[index].valuesByKey[item.key];
@@ -693,7 +693,7 @@
         std::ranges::copy(action.reports, std::back_inserter(m_processes[index].receivedReports));
     }
 
-    void perform(std::size_t, const tree_note_action &action)
+    void perform(std::size_t, const tree_event_action &action)
     {
         logEvents.push_back(std::string(action.event) + " " + action.about);
     }
@@ -702,19 +702,19 @@
     {
         const std::vector<request_evidence> newEvidence = m_processes[index].ledger.join(action.requests, m_now);
         requestEvidenceMessages += 1;
-        m_processes[index].node->tellRequests(newEvidence, action.from, m_now);
+        m_processes[index].node->sendRequestEvidence(newEvidence, action.from, m_now);
         sendRequestEvidence(index); // evidence that this node's ledger added to the received evidence
     }
 
-    void perform(std::size_t index, const greet_action &action)
+    void perform(std::size_t index, const link_joined_action &action)
     {
-        m_processes[index].node->greet(action.link, m_processes[index].ledger.all(), m_now);
+        m_processes[index].node->sendAllRequestEvidence(action.link, m_processes[index].ledger.all(), m_now);
         performActions(index);
     }
 
     void sendRequestEvidence(std::size_t index)
     {
-        m_processes[index].node->tellRequests(m_processes[index].ledger.takeNews(), 0, m_now);
+        m_processes[index].node->sendRequestEvidence(m_processes[index].ledger.takeUpdates(), 0, m_now);
         performActions(index);
     }
 
--- a/libs/fleet/tests/test_fleet.cpp
+++ b/libs/fleet/tests/test_fleet.cpp
@@ -90,11 +90,11 @@
     fleet_world fleet(6);
     fleet.write("a", "1");
     fleet.run(millis(3000));
-    BOOST_TEST(fleet.node(0).hearsPeers(fleet.now()));
-    BOOST_TEST(fleet.node(5).hearsPeers(fleet.now()));
+    BOOST_TEST(fleet.node(0).hasResponsivePeer(fleet.now()));
+    BOOST_TEST(fleet.node(5).hasResponsivePeer(fleet.now()));
     fleet.partition(1);
     fleet.run(millis(1000));
-    BOOST_TEST(!fleet.node(0).hearsPeers(fleet.now()));
+    BOOST_TEST(!fleet.node(0).hasResponsivePeer(fleet.now()));
 }
 
 // Guards against a VM that uses an outdated configuration after the links to all its peers stop delivering messages,
@@ -258,7 +258,7 @@
     }
     fleet.run(millis(3000));
     for (std::size_t index = 1; index < 8; ++index) {
-        BOOST_TEST(fleet.node(index).storeInTrouble());
+        BOOST_TEST(fleet.node(index).isStoreUnavailable());
     }
     fleet.write("leaf", "");
     for (std::size_t index = 0; index < 8; ++index) {
@@ -272,7 +272,7 @@
     fleet.run(millis(6000));
     BOOST_TEST(fleet.valuesReceived(5, "leaf") == "ready");
     for (std::size_t index = 0; index < 8; ++index) {
-        BOOST_TEST(!fleet.node(index).storeInTrouble());
+        BOOST_TEST(!fleet.node(index).isStoreUnavailable());
     }
 }
 
--- a/libs/fleet/tests/test_fleet_items.cpp
+++ b/libs/fleet/tests/test_fleet_items.cpp
@@ -119,7 +119,7 @@
     (void)node.takeActions();
     node.tick(millis(1500));
     for (const fleet_action &action : node.takeActions()) {
-        if (const auto *sent = std::get_if<tell_action>(&action)) {
+        if (const auto *sent = std::get_if<send_message_action>(&action)) {
             notifiedLinks.insert(sent->links.begin(), sent->links.end());
         }
     }
--- a/libs/fleet/tests/test_fleet_requests.cpp
+++ b/libs/fleet/tests/test_fleet_requests.cpp
@@ -16,7 +16,7 @@
 
 std::size_t countRefusing(const fleet_world &world)
 {
-    return world.countInQuarantineState(crashingRequest, request_standing::Quarantined);
+    return world.countInQuarantineState(crashingRequest, quarantine_state::Quarantined);
 }
 
 /** Records enough crashes at node @p index for a quarantine verdict. */
@@ -67,7 +67,7 @@
     world.run(millis(1000));
     BOOST_CHECK_EQUAL(countRefusing(world), 0U);
     // On the side without a seed, VMs do not find each other, and each reads the store itself.
-    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Suspect), 5U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, quarantine_state::Suspect), 5U);
     world.partition(0);
     world.run(millis(6000));
     BOOST_CHECK_EQUAL(countRefusing(world), 8U);
@@ -126,11 +126,11 @@
     world.run(millis(700));
     world.recordAnswer(5, crashingRequest);
     world.run(millis(100));
-    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, quarantine_state::Clear), 8U);
     world.kill(3);
     world.start(3, world.now() + millis(50));
     world.run(millis(4000));
-    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, quarantine_state::Clear), 8U);
 }
 
 /**
@@ -147,7 +147,7 @@
     world.run(millis(1000));
     recordVerdictEvidence(world, 1);
     world.run(millis(100));
-    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Suspect), 8U);
+    BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, quarantine_state::Suspect), 8U);
 }
 
 /**
@@ -171,7 +171,7 @@
         BOOST_CHECK_EQUAL(countRefusing(world), nodeCount);
         world.recordAnswer((stoppingNode + 1) % nodeCount, crashingRequest);
         world.run(readerSearchTime);
-        BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, request_standing::Clear), nodeCount);
+        BOOST_CHECK_EQUAL(world.countInQuarantineState(crashingRequest, quarantine_state::Clear), nodeCount);
         world.run(millis(2000));
         BOOST_CHECK_EQUAL(world.countFollowers(stoppingNode), 0U);
         BOOST_CHECK_EQUAL(world.memberCountAt((stoppingNode + 1) % nodeCount), nodeCount - 1);
@@ -213,7 +213,7 @@
 
 BOOST_AUTO_TEST_CASE(request_evidence_is_complete_after_encoding_and_decoding)
 {
-    request_news message;
+    request_evidence_message message;
     request_evidence &evidence = message.requests.emplace_back();
     evidence.key = crashingRequest;
     evidence.route = 7;
@@ -224,7 +224,7 @@
     const std::string frame = encodeFleetFrame(message);
     constexpr std::ptrdiff_t lengthBytes = 4;
     const std::vector<std::uint8_t> payload(frame.begin() + lengthBytes, frame.end());
-    const auto decoded = std::get<request_news>(decodeFleetPayload(payload).value());
+    const auto decoded = std::get<request_evidence_message>(decodeFleetPayload(payload).value());
     BOOST_REQUIRE_EQUAL(decoded.requests.size(), 2U);
     BOOST_CHECK(decoded.requests[0].key == crashingRequest);
     BOOST_CHECK_EQUAL(decoded.requests[0].route, 7U);
--- a/libs/gateway/include/gateway/delegated_work.h
+++ b/libs/gateway/include/gateway/delegated_work.h
@@ -35,7 +35,7 @@
     std::vector<service_name> shards;
     std::size_t topRecords = 0;
     millis objective; ///< target latency of the route
-    millis speakIn; ///< time until the first progress report is due, even if no shard has answered
+    millis firstReportIn; ///< time until the first progress report is due, even if no shard has answered
     millis cutoffIn; ///< time until all parts received so far are reported; later ones are reported as they arrive
     millis limitIn; ///< time after which results are useless
     std::vector<std::string> triedLeafs; ///< ids of leafs of these shards that are not asked again
@@ -53,7 +53,7 @@
     std::uint32_t shard = 0;
     bool mayHaveRun = false; ///< a leaf may have run the request
     bool reachedLeaf = false; ///< a leaf received the request, even if it refused it
-    bool leafEnded = false; ///< the leaf crashed while it ran the request
+    bool leafCrashed = false; ///< the leaf crashed while it ran the request
     std::string leafId; ///< of the last leaf that the request was sent to; empty if none
 };
 
--- a/libs/gateway/include/gateway/gateway.h
+++ b/libs/gateway/include/gateway/gateway.h
@@ -65,7 +65,7 @@
 enum class send_failure : std::uint8_t {
     NotSent, ///< no byte reached the leaf: the request has not run
     Broken, ///< the connection closed or sent malformed data: the request may have run
-    LeafEnded, ///< the connection closed without an answer and the leaf refuses new ones: the request may have run
+    LeafCrashed, ///< the connection closed without an answer and the leaf refuses new ones: the request may have run
     TimedOut ///< no answer by the deadline: the request may have run
 };
 
@@ -114,17 +114,17 @@
     std::uint64_t version = 0; ///< of the configuration that was applied
     std::size_t shards = 0;
     std::size_t missing = 0;
-    zone_name emptiedZone; ///< a drained zone with leafs that were skipped only for that reason; empty if none
+    zone_name drainedZone; ///< a drained zone with leafs that were skipped only for that reason; empty if none
     unsigned sends = 0;
     unsigned hedges = 0;
     unsigned retries = 0;
-    unsigned handedSeconds = 0; ///< hedges and retries that were delegated to other VMs
+    unsigned delegatedSecondSends = 0; ///< hedges and retries that were delegated to other VMs
     millis elapsed;
     millis ways; ///< part of the caller's timeout reserved for the network and for sending the answer
 };
 
 /** A decision about a request in progress, or a change of a leaf's health; for the log. */
-struct note_action {
+struct log_event_action {
     std::string requestId; ///< empty for a change of leaf health
     request_fingerprint key; ///< unknown for a change of leaf health
     std::string_view event;
@@ -143,7 +143,7 @@
 };
 
 /** The leafs that this VM sent one request to, emitted when the request has ended; for the log. */
-struct asked_action {
+struct asked_leafs_action {
     std::string requestId;
     request_fingerprint key;
     std::vector<asked_leaf> leafs; ///< in the order of the sends, at most @ref maxLoggedLeafs
@@ -153,13 +153,13 @@
 };
 
 /** The quarantine state or evidence of a request changed by an observation of this VM; for the log. */
-struct verdict_action {
+struct quarantine_update_action {
     exchange_id exchange = 0; ///< of the attempt that caused the change; it may already be answered
     request_fingerprint key;
-    request_standing standing = request_standing::Clear;
+    quarantine_state standing = quarantine_state::Clear;
     std::size_t leafs = 0; ///< that crashed while running it, as far as they are kept
     std::size_t attempts = 0; ///< that no leaf survived
-    millis heldFor; ///< if quarantined: time until the request is admitted again
+    millis quarantineRemaining; ///< if quarantined: time until the request is admitted again
 };
 
 /** Delegate work to another VM. */
@@ -187,9 +187,9 @@
 using gateway_action = std::variant<send_action,
                                     cancel_action,
                                     answer_action,
-                                    note_action,
-                                    asked_action,
-                                    verdict_action,
+                                    log_event_action,
+                                    asked_leafs_action,
+                                    quarantine_update_action,
                                     delegate_action,
                                     delegate_cancel_action,
                                     progress_action>;
@@ -203,7 +203,7 @@
     millis drainLimit {3000}; ///< how long after the store's report a leaving leaf may get requests
     millis callerRoundTrip {6}; ///< assumed round trip to a caller if it was not measured; decides when to answer
     millis answerMargin {4}; ///< from the decision to answer to the last byte written, on a busy VM
-    std::size_t shardsAtOnce = 25; ///< more shards are divided among VMs, since one VM would take too long for them
+    std::size_t maxShardsPerVm = 25; ///< more shards are divided among VMs, since one VM would take too long for them
     millis removalHold {2200}; ///< how long a leaf stays usable whose entry expired while the store was unavailable
     quarantine_settings quarantine;
 };
@@ -232,7 +232,7 @@
 
     /** Drains or undrains a zone. @param drained true if the zone's leafs must get no more requests; false to undrain.
      *  @return false if the zone is in that state already. */
-    bool setZoneEmptied(const zone_name &zone, bool drained, millis now);
+    bool setZoneDrained(const zone_name &zone, bool drained, millis now);
 
     /** Applies new settings; windows that have begun keep the old ones. */
     void changeSettings(gateway_settings settings)
@@ -251,7 +251,7 @@
     exchange_id arrive(const caller_request &request, millis now);
 
     /** Accepts work that another VM delegates; its results are emitted as @ref progress_action. */
-    exchange_id arriveDelegated(std::string requestId, const delegated_work &work, millis now);
+    exchange_id acceptDelegatedWork(std::string requestId, const delegated_work &work, millis now);
 
     /** Sets the reachable VMs, to which shards with leafs near them can be delegated.
      *  @param ownRank this VM's @ref helper_vm::rank. */
@@ -267,7 +267,7 @@
     void onHelperLost(std::string_view address, millis now);
 
     /** The VM that delegated the exchange no longer needs it. */
-    void onUnneeded(exchange_id id, millis now);
+    void onDelegationCancelled(exchange_id id, millis now);
 
     /** A leaf ran the request of this delegated exchange to completion, as reported by the VM that delegated it. */
     void onSurvived(exchange_id id);
@@ -283,10 +283,11 @@
     std::size_t onReports(std::span<const leaf_report> reports);
 
     /** @return this VM's evidence on queries of death since the last call, for the other VMs. */
-    [[nodiscard]] std::vector<request_evidence> takeRequestNews();
+    [[nodiscard]] std::vector<request_evidence> takeRequestEvidence();
 
     /** Applies the evidence of other VMs. @return the part that was new here, to be forwarded. */
-    [[nodiscard]] std::vector<request_evidence> onRequestNews(std::span<const request_evidence> evidence, millis now);
+    [[nodiscard]] std::vector<request_evidence> onRequestEvidence(std::span<const request_evidence> evidence,
+                                                                  millis now);
 
     [[nodiscard]] const request_ledger &requests() const
     {
@@ -294,7 +295,7 @@
     }
 
     /** This process was paused for @p gap: answers that became overdue meanwhile don't count against the leafs. */
-    void onStandstill(millis gap);
+    void onProcessPause(millis gap);
 
     /** Performs all actions that are due by @p now. */
     void advance(millis now);
@@ -321,7 +322,7 @@
         std::size_t call = 0;
         std::shared_ptr<leaf> to;
         std::shared_ptr<attempt_evidence> evidence;
-        route_pace *latency = nullptr;
+        route_latency *latency = nullptr;
         millis sentAt;
         millis deadline; ///< time after which the leaf may stop working on it
         millis closeAt; ///< the send is cancelled then
@@ -390,9 +391,9 @@
     void beginGather(exchange &work, millis now);
     [[nodiscard]] millis estimateNetworkTime(const caller_request &request) const;
     [[nodiscard]] choice chooseLeaf(const exchange &work, const shard_call &call, bool forHedge, millis now);
-    [[nodiscard]] double expectedCost(const leaf &candidate, const route_pace &latency, millis now);
+    [[nodiscard]] double expectedCost(const leaf &candidate, const route_latency &latency, millis now);
     [[nodiscard]] static bool
-    isOverloaded(const leaf &candidate, const route_pace &latency, millis timeLeft, millis now);
+    isOverloaded(const leaf &candidate, const route_latency &latency, millis timeLeft, millis now);
     [[nodiscard]] bool mayAsk(const leaf &candidate, millis now) const;
     [[nodiscard]] bool mayAskCold(const leaf &candidate, millis now) const;
     void useColdSlot(leaf &asked, millis now) const;
@@ -403,7 +404,7 @@
     void sendCall(exchange &work, std::size_t call, const std::shared_ptr<leaf> &to, millis now);
     bool trySpendBudget(const service_name &service, double reserve, millis now);
     retry_budget &budgetOf(const service_name &service);
-    route_pace &latencyOf(const gateway_route &route);
+    route_latency &latencyOf(const gateway_route &route);
     void retryCall(exchange &work, std::size_t call, std::string_view cause, millis now);
     void resend(exchange &work, std::size_t call, std::string_view cause, const std::shared_ptr<leaf> &to, millis now);
     void failCall(exchange &work, std::size_t call, std::string_view cause, millis now);
@@ -428,7 +429,7 @@
     void releaseHeld(exchange &work, millis now);
     void recordSurvived(exchange &work, millis now);
     static void recordLeafCrash(exchange &work, std::string_view leafId);
-    void recordLateOutcome(const send &ended, bool survived, bool leafEnded, millis now);
+    void recordLateOutcome(const send &ended, bool survived, bool leafCrashed, millis now);
     void submitEvidence(exchange &work, millis now);
     void logQuarantineState(exchange_id attempt, const request_fingerprint &key, millis now);
     void refuseQuarantined(const caller_request &request, const gateway_route &route, exchange_id id, millis now);
@@ -489,11 +490,11 @@
     seeded_random m_random;
     std::shared_ptr<const route_table> m_table;
     leaf_directory m_leafs;
-    emptied_zones m_zones;
+    drained_zones m_zones;
     std::size_t m_fleetSize;
     std::uint64_t m_seed; ///< differs between VMs
     std::unordered_map<service_name, retry_budget> m_budgets;
-    std::unordered_map<std::string, route_pace> m_routeLatencies;
+    std::unordered_map<std::string, route_latency> m_routeLatencies;
     std::unordered_map<std::string, std::vector<double>> m_shareCredits; ///< by route, for smooth weighted round-robin
     std::unordered_map<exchange_id, std::unique_ptr<exchange>> m_exchanges;
     std::unordered_map<send_id, send> m_sends;
--- a/libs/gateway/src/accepted_work.cpp
+++ b/libs/gateway/src/accepted_work.cpp
@@ -6,7 +6,7 @@
 
 namespace chivelock {
 
-exchange_id gateway_engine::arriveDelegated(std::string requestId, const delegated_work &asked, millis now)
+exchange_id gateway_engine::acceptDelegatedWork(std::string requestId, const delegated_work &asked, millis now)
 {
     auto work = std::make_unique<exchange>();
     gateway_route &route = work->ownRoute.emplace();
@@ -30,12 +30,12 @@
     work->latency = &latencyOf(route);
     work->arrivedAt = now;
     work->cutoff = now + asked.cutoffIn;
-    work->firstReportDue = now + asked.speakIn;
+    work->firstReportDue = now + asked.firstReportIn;
     work->limit = now + asked.limitIn;
     work->reportSeparately = asked.alone;
     addCalls(*work, route.shards);
     excludeTriedLeafs(*work, asked.triedLeafs);
-    const bool quarantined = m_requests.standingOf(asked.key, now) == request_standing::Quarantined;
+    const bool quarantined = m_requests.quarantineStateOf(asked.key, now) == quarantine_state::Quarantined;
     // Without a table this VM has just started and knows no leafs; the delegating VM may not know of a quarantine yet.
     if (!m_table || quarantined) {
         return refuseDelegated(*work, now);
@@ -122,7 +122,7 @@
             parts.emplace_back(call.part.body);
         } else if (call.missing && !call.reported) {
             call.reported = true;
-            report.lost.push_back({shard, call.mayHaveRun > 0, call.reachedLeaf, call.leafEnded, call.lastAsked});
+            report.lost.push_back({shard, call.mayHaveRun > 0, call.reachedLeaf, call.leafCrashed, call.lastAsked});
         } else if (pendingDue && !call.done && !call.missing && !call.lastAsked.empty()) {
             call.pendingReported = true;
             report.pending.push_back({shard, call.lastAsked});
@@ -155,7 +155,7 @@
     }
 }
 
-void gateway_engine::onUnneeded(exchange_id id, millis now)
+void gateway_engine::onDelegationCancelled(exchange_id id, millis now)
 {
     const auto found = m_exchanges.find(id);
     if (found == m_exchanges.end()) {
--- a/libs/gateway/src/canary_requests.cpp
+++ b/libs/gateway/src/canary_requests.cpp
@@ -46,13 +46,13 @@
     work.evidence->key = work.key;
     work.evidence->route = digestOfRoute(work.route->name);
     work.evidence->attempt = static_cast<attempt_tag>(m_attemptTags.below(std::numeric_limits<attempt_tag>::max()));
-    if (m_requests.standingOf(work.key, now) == request_standing::Suspect) {
+    if (m_requests.quarantineStateOf(work.key, now) == quarantine_state::Suspect) {
         work.canaryLimit = suspectCanaryLimit;
         work.evidence->singleLeaf = true;
         work.sendBy = now + work.route->objective * canaryWaitShare;
         m_canaries.try_emplace(work.key, work.id);
-    } else if (work.route->isGather() && m_requests.isGuarded(work.evidence->route, now)
-               && !m_requests.wasAnswered(work.key, now)) {
+    } else if (work.route->isGather() && m_requests.requiresCanary(work.evidence->route, now)
+               && !m_requests.wasAnsweredRecently(work.key, now)) {
         work.canaryLimit = guardedCanaryLimit; // not for an answered request: it crashes no leafs, though others may
     }
 }
@@ -78,15 +78,15 @@
     if (work.isDelegated() || work.evidence->survived) {
         return true; // for delegated work the delegating VM decides what is sent
     }
-    const request_standing standing = m_requests.standingOf(work.key, now);
-    if (standing == request_standing::Quarantined) {
+    const quarantine_state standing = m_requests.quarantineStateOf(work.key, now);
+    if (standing == quarantine_state::Quarantined) {
         return false;
     }
     if (work.canaryLimit == 0) {
-        const bool mayBeTheCause = work.route->isGather() && !m_requests.wasAnswered(work.key, now);
+        const bool mayBeTheCause = work.route->isGather() && !m_requests.wasAnsweredRecently(work.key, now);
         return work.evidence->crashedLeafs.size() < (mayBeTheCause ? maxCrashesOfLookup : maxCrashesOtherwise);
     }
-    const bool mayRunCanary = standing == request_standing::Clear || isCanaryAttempt(work);
+    const bool mayRunCanary = standing == quarantine_state::Clear || isCanaryAttempt(work);
     std::size_t asked = work.evidence->crashedLeafs.size();
     std::ranges::for_each(work.calls, [&](const shard_call &call) { asked += call.open + call.openDelegations; });
     const bool early = now - work.arrivedAt < work.route->objective * secondCanaryShare;
@@ -107,7 +107,7 @@
     }
     constexpr std::size_t fewShards = 2; // so few that all of their leafs may be paused
     const bool noShardAnswered = work.route->isGather() && work.calls.size() > fewShards && !work.evidence->survived;
-    const double allowedHedges = (now - work.arrivedAt).count() / work.latency->hedgeAfter().count();
+    const double allowedHedges = (now - work.arrivedAt).count() / work.latency->hedgeDelay().count();
     return !noShardAnswered || call.helperLate || work.hedges < allowedHedges;
 }
 
@@ -120,7 +120,7 @@
     constexpr std::ptrdiff_t withSpare = 2;
     return std::ranges::count_if(m_leafs.of(shard),
                                  [&](const std::shared_ptr<leaf> &one) {
-                                     return mayAsk(*one, now) && one->failuresInRow == 0 && !one->isLeaving();
+                                     return mayAsk(*one, now) && one->consecutiveFailures == 0 && !one->isLeaving();
                                  })
         >= withSpare;
 }
@@ -176,19 +176,19 @@
     if (work.ended || work.isDelegated()) {
         return;
     }
-    const request_standing standing = m_requests.standingOf(work.key, now);
-    const bool clearedElsewhere = work.canaryLimit == suspectCanaryLimit && standing == request_standing::Clear;
+    const quarantine_state standing = m_requests.quarantineStateOf(work.key, now);
+    const bool clearedElsewhere = work.canaryLimit == suspectCanaryLimit && standing == quarantine_state::Clear;
     if (work.evidence->survived || clearedElsewhere) {
         releaseHeld(work, now);
         return;
     }
-    if (work.canaryLimit == suspectCanaryLimit && standing == request_standing::Suspect) {
+    if (work.canaryLimit == suspectCanaryLimit && standing == quarantine_state::Suspect) {
         m_canaries.try_emplace(work.key, work.id); // takes over if the previous canary attempt has ended
     }
     if (work.canaryLimit > 0 && work.route->isGather()) {
         sendCanaries(work, now);
     }
-    const bool quarantined = standing == request_standing::Quarantined;
+    const bool quarantined = standing == quarantine_state::Quarantined;
     const bool stuck = !maySendMore(work, now) && (quarantined || !work.evidence->crashedLeafs.empty());
     if (!work.ended && stuck && !work.isUnderWay()) {
         answerUnserved(work, quarantined ? "quarantined" : "leafs_ended", false, now);
@@ -226,12 +226,12 @@
         return;
     }
     work.evidence->survived = true;
-    const bool hedgesWaited = now - work.arrivedAt >= work.latency->hedgeAfter();
+    const bool hedgesWaited = now - work.arrivedAt >= work.latency->hedgeDelay();
     for (shard_call &call : work.calls) {
         const bool hedgePending = call.nextHedge < millis::never();
         call.nextHedge = hedgesWaited && hedgePending ? std::min(call.nextHedge, now) : call.nextHedge;
     }
-    if (m_requests.addAnswer(work.key, now)) {
+    if (m_requests.recordAnswer(work.key, now)) {
         logQuarantineState(work.id, work.key, now);
     }
 }
@@ -242,19 +242,19 @@
 }
 
 /** Records the outcome of a send whose attempt was answered before. */
-void gateway_engine::recordLateOutcome(const send &ended, bool survived, bool leafEnded, millis now)
+void gateway_engine::recordLateOutcome(const send &ended, bool survived, bool leafCrashed, millis now)
 {
     if (ended.evidence->survived) {
         return;
     }
     attempt_evidence &evidence = *ended.evidence;
     evidence.survived = survived;
-    if (survived && m_requests.addAnswer(evidence.key, now)) {
+    if (survived && m_requests.recordAnswer(evidence.key, now)) {
         logQuarantineState(0, evidence.key, now);
     }
-    if (leafEnded && evidence.key.isKnown()) {
+    if (leafCrashed && evidence.key.isKnown()) {
         const leaf_digest leaf = digestOf(ended.to->entry.id);
-        m_requests.addEnds(evidence.key, evidence.route, evidence.attempt, {&leaf, 1}, evidence.singleLeaf, now);
+        m_requests.recordCrashes(evidence.key, evidence.route, evidence.attempt, {&leaf, 1}, evidence.singleLeaf, now);
         logQuarantineState(0, evidence.key, now);
     }
 }
@@ -272,20 +272,21 @@
     if (ended.empty()) {
         return;
     }
-    m_requests.addEnds(work.key, work.evidence->route, work.evidence->attempt, ended, work.evidence->singleLeaf, now);
+    m_requests.recordCrashes(
+        work.key, work.evidence->route, work.evidence->attempt, ended, work.evidence->singleLeaf, now);
     logQuarantineState(work.id, work.key, now);
 }
 
 void gateway_engine::logQuarantineState(exchange_id attempt, const request_fingerprint &key, millis now)
 {
-    verdict_action verdict;
+    quarantine_update_action verdict;
     verdict.exchange = attempt;
     verdict.key = key;
-    verdict.standing = m_requests.standingOf(key, now);
-    verdict.heldFor = m_requests.heldFor(key, now);
+    verdict.standing = m_requests.quarantineStateOf(key, now);
+    verdict.quarantineRemaining = m_requests.quarantineRemaining(key, now);
     if (const request_evidence *known = m_requests.find(key)) {
-        verdict.leafs = endedLeafs(*known);
-        verdict.attempts = triesInVain(*known);
+        verdict.leafs = crashedLeafs(*known);
+        verdict.attempts = failedAttempts(*known);
     }
     m_actions.emplace_back(verdict);
 }
@@ -302,15 +303,15 @@
     answerWithoutExchange(request, exchange_outcome::Refused, "quarantined", id);
     auto &refusal = std::get<answer_action>(m_actions.back());
     refusal.route = route.name;
-    refusal.retryAfter = m_requests.heldFor(request.key, now);
+    refusal.retryAfter = m_requests.quarantineRemaining(request.key, now);
 }
 
-std::vector<request_evidence> gateway_engine::takeRequestNews()
+std::vector<request_evidence> gateway_engine::takeRequestEvidence()
 {
-    return m_requests.takeNews();
+    return m_requests.takeUpdates();
 }
 
-std::vector<request_evidence> gateway_engine::onRequestNews(std::span<const request_evidence> evidence, millis now)
+std::vector<request_evidence> gateway_engine::onRequestEvidence(std::span<const request_evidence> evidence, millis now)
 {
     return m_requests.join(evidence, now);
 }
--- a/libs/gateway/src/delegation_plan.cpp
+++ b/libs/gateway/src/delegation_plan.cpp
@@ -53,7 +53,7 @@
     for (const helper_vm &helper : m_helpers) {
         vms = helper.zone == zone ? std::max<std::size_t>(vms, helper.rank + 1) : vms;
     }
-    return std::max<std::size_t>(1, std::min(partsFor(shards, m_settings.shardsAtOnce), vms));
+    return std::max<std::size_t>(1, std::min(partsFor(shards, m_settings.maxShardsPerVm), vms));
 }
 
 /** @return the address of a VM to delegate the part to; empty if this VM queries it itself or no helper is usable. */
--- a/libs/gateway/src/engine.cpp
+++ b/libs/gateway/src/engine.cpp
@@ -18,8 +18,8 @@
 void updateMixedWork(leaf &target, millis work)
 {
     constexpr double newestShare = 0.1; // the average covers about ten requests
-    const bool first = target.mixedWork == millis();
-    target.mixedWork = first ? work : target.mixedWork * (1 - newestShare) + work * newestShare;
+    const bool first = target.averageServiceTime == millis();
+    target.averageServiceTime = first ? work : target.averageServiceTime * (1 - newestShare) + work * newestShare;
 }
 
 millis timeoutAfterNetwork(millis callerTimeout, millis networkTime)
@@ -48,7 +48,7 @@
         return "not_sent";
     case send_failure::Broken:
         return "connection_broken";
-    case send_failure::LeafEnded:
+    case send_failure::LeafCrashed:
         return "leaf_ended";
     case send_failure::TimedOut:
         return "silent";
@@ -121,7 +121,7 @@
         answerWithoutExchange(request, exchange_outcome::NoRoute, "no_route", id);
         return id;
     }
-    if (m_requests.standingOf(request.key, now) == request_standing::Quarantined) {
+    if (m_requests.quarantineStateOf(request.key, now) == quarantine_state::Quarantined) {
         refuseQuarantined(request, *route, id, now);
         return id;
     }
@@ -177,7 +177,7 @@
 void gateway_engine::recordDrainedZone(exchange &work, const choice &none)
 {
     if (!none.to && none.drained != nullptr) {
-        work.emptiedZone = *none.drained;
+        work.drainedZone = *none.drained;
     }
 }
 
@@ -197,7 +197,7 @@
     }
     // Refuses before any leaf works on a request that can't be answered.
     if (work.calls.size() - work.missing < work.neededParts()) {
-        const std::string_view otherwise = work.emptiedZone.value.empty() ? "too_few_shards" : "zone_emptied";
+        const std::string_view otherwise = work.drainedZone.value.empty() ? "too_few_shards" : "zone_emptied";
         answerUnserved(work, overloaded ? "shards_overloaded" : otherwise, false, now);
         return;
     }
@@ -260,7 +260,7 @@
 void gateway_engine::sendCall(exchange &work, std::size_t at, const std::shared_ptr<leaf> &to, millis now)
 {
     shard_call &call = work.calls[at];
-    const millis hedgeAfter = work.latency->hedgeAfter();
+    const millis hedgeDelay = work.latency->hedgeDelay();
     send one;
     one.id = m_nextId++;
     one.exchange = work.id;
@@ -276,7 +276,7 @@
     one.queue = leafQueuePerSlot(*to, *work.latency, now);
     useColdSlot(*to, now);
     updateMixedWork(*to, work.latency->typical.estimate());
-    to->open.push_back({one.id, now, now + hedgeAfter});
+    to->open.push_back({one.id, now, now + hedgeDelay});
     call.tried.push_back(to);
     call.lastAsked = to->entry.id;
     recordAskedLeaf(work, *to, now);
@@ -285,7 +285,7 @@
     call.sends += 1;
     call.waiting = false;
     const bool mayHedge = work.route->idempotent && !work.isDelegated();
-    call.nextHedge = mayHedge ? now + hedgeAfter : millis::never();
+    call.nextHedge = mayHedge ? now + hedgeDelay : millis::never();
     work.sends += 1;
     m_due.push({one.closeAt, due_kind::Send, one.id});
     m_actions.emplace_back(
@@ -371,10 +371,10 @@
     }
     updateLeafOnFailure(*ended->to, failure, now);
     // A leaving leaf closes its connections and stops as instructed; that is no crash.
-    const bool leafEnded = failure == send_failure::LeafEnded && !ended->to->isLeaving();
+    const bool leafCrashed = failure == send_failure::LeafCrashed && !ended->to->isLeaving();
     exchange *owner = ownerOf(*ended);
     if (owner == nullptr) {
-        recordLateOutcome(*ended, false, leafEnded, now);
+        recordLateOutcome(*ended, false, leafCrashed, now);
         return;
     }
     exchange &work = *owner;
@@ -382,8 +382,8 @@
     call.open -= 1;
     call.mayHaveRun -= failure == send_failure::NotSent ? 1 : 0;
     call.reachedLeaf = call.reachedLeaf || failure != send_failure::NotSent;
-    call.leafEnded = call.leafEnded || leafEnded;
-    if (leafEnded) {
+    call.leafCrashed = call.leafCrashed || leafCrashed;
+    if (leafCrashed) {
         recordLeafCrash(work, ended->to->entry.id);
     }
     logEvent(work, "send_in_vain", toString(failure), ended->to.get(), call.service, now - ended->sentAt, now);
--- a/libs/gateway/src/engine_answers.cpp
+++ b/libs/gateway/src/engine_answers.cpp
@@ -57,13 +57,14 @@
             continue;
         }
         for (const std::shared_ptr<leaf> &one : m_leafs.of(call.service)) {
-            if (m_zones.isEmptied(one->entry.zone)) {
+            if (m_zones.isDrained(one->entry.zone)) {
                 continue; // operators undrain zones after minutes, so their leafs do not shorten the retry time
             }
             soonest = std::min(soonest, std::max(one->downUntil - now, millis()));
         }
     }
-    result.retryAfter = std::max(std::clamp(soonest, minRetryAfter, maxRetryAfter), m_requests.heldFor(work.key, now));
+    result.retryAfter =
+        std::max(std::clamp(soonest, minRetryAfter, maxRetryAfter), m_requests.quarantineRemaining(work.key, now));
     m_actions.emplace_back(std::move(result));
     answer(work, outcome, cause, now);
 }
@@ -81,11 +82,11 @@
     result.version = work.table->config().version;
     result.shards = work.route->isGather() ? work.calls.size() : 0;
     result.missing = work.route->isGather() ? work.calls.size() - work.done : 0;
-    result.emptiedZone = work.emptiedZone;
+    result.drainedZone = work.drainedZone;
     result.sends = work.sends;
     result.hedges = work.hedges;
     result.retries = work.retries;
-    result.handedSeconds = work.handedSeconds;
+    result.delegatedSecondSends = work.delegatedSecondSends;
     result.elapsed = now - work.arrivedAt;
     result.ways = work.networkTime;
     work.ended = true;
@@ -115,21 +116,21 @@
                               millis input,
                               millis now)
 {
-    m_actions.emplace_back(note_action {work.requestId,
-                                        work.key,
-                                        event,
-                                        cause,
-                                        about == nullptr ? std::string() : about->entry.id,
-                                        service.value,
-                                        now - work.arrivedAt,
-                                        input});
+    m_actions.emplace_back(log_event_action {work.requestId,
+                                             work.key,
+                                             event,
+                                             cause,
+                                             about == nullptr ? std::string() : about->entry.id,
+                                             service.value,
+                                             now - work.arrivedAt,
+                                             input});
 }
 
 void gateway_engine::recordAskedLeaf(exchange &work, const leaf &asked, millis now)
 {
     const std::optional<millis> since = asked.leavingSince();
     const std::optional<millis> leavingFor = since ? std::optional(now - *since) : std::nullopt;
-    if (work.asked.leafs.size() < asked_action::maxLoggedLeafs) {
+    if (work.asked.leafs.size() < asked_leafs_action::maxLoggedLeafs) {
         work.asked.leafs.push_back({asked.entry.id, now - work.arrivedAt, leavingFor});
     } else {
         work.asked.more += 1;
@@ -176,7 +177,7 @@
     m_exchanges.erase(found);
 }
 
-void gateway_engine::onStandstill(millis gap)
+void gateway_engine::onProcessPause(millis gap)
 {
     for (auto &[id, one] : m_sends) {
         for (leaf::open_send &open : one.to->open) {
--- a/libs/gateway/src/exchange.h
+++ b/libs/gateway/src/exchange.h
@@ -43,17 +43,17 @@
 }
 
 /** @return as @ref queuePerSlot, from this VM's open sends and the load that the leaf reported recently. */
-[[nodiscard]] double leafQueuePerSlot(const leaf &candidate, const route_pace &latency, millis now);
+[[nodiscard]] double leafQueuePerSlot(const leaf &candidate, const route_latency &latency, millis now);
 
 /**
  * @return the time that a leaf of usual speed needs for a request behind @p queue others. The queued requests are of
  * all routes: a short request waits for long ones, and an estimate that took them to be of its own route was a third of
  * the true wait.
  */
-[[nodiscard]] inline millis timeWithQueue(double queue, const leaf &candidate, const route_pace &latency)
+[[nodiscard]] inline millis timeWithQueue(double queue, const leaf &candidate, const route_latency &latency)
 {
     const millis typical = latency.typical.estimate();
-    return typical + std::max(candidate.mixedWork, typical) * queue;
+    return typical + std::max(candidate.averageServiceTime, typical) * queue;
 }
 
 /** One shard of a gather, or the only call of a request to one leaf. */
@@ -69,7 +69,7 @@
     bool done = false; ///< its part has been received
     bool missing = false; ///< abandoned
     bool reachedLeaf = false; ///< a leaf received the request, even if it refused it
-    bool leafEnded = false; ///< a leaf crashed while it ran the request
+    bool leafCrashed = false; ///< a leaf crashed while it ran the request
     std::string lastAsked; ///< id of the leaf that the request was last sent to
     unsigned openDelegations = 0; ///< delegations of this call that have not ended
     bool helperLate = false; ///< the helper's first report is overdue
@@ -102,7 +102,7 @@
     std::shared_ptr<const route_table> table; ///< keeps the route alive and all shards at one configuration version
     const gateway_route *route = nullptr;
     std::optional<gateway_route> ownRoute; ///< built from delegated work; the delegating VM has the configured one
-    route_pace *latency = nullptr;
+    route_latency *latency = nullptr;
     millis arrivedAt;
     millis networkTime; ///< part of the caller's timeout spent before and after this VM's processing
     millis limit; ///< latest time of the final answer
@@ -112,7 +112,7 @@
     std::vector<shard_call> calls;
     std::size_t done = 0;
     std::size_t missing = 0;
-    zone_name emptiedZone; ///< see @ref answer_action::emptiedZone
+    zone_name drainedZone; ///< see @ref answer_action::drainedZone
     millis firstReportDue = millis::never(); ///< latest time of the first report to the delegating VM
     bool firstReportSent = false; ///< a report was sent to the delegating VM
     bool pendingReported = false; ///< the pending shards were reported to the delegating VM
@@ -123,12 +123,12 @@
     std::vector<std::string> mergedRecords; ///< records of parts that other VMs delivered
     std::shared_ptr<attempt_evidence> evidence;
     std::size_t canaryLimit = 0; ///< canary requests allowed before a leaf has survived the request; 0 for no limit
-    asked_action asked; ///< for the log
+    asked_leafs_action asked; ///< for the log
     std::optional<gateway_reply> failure; ///< of a request to one leaf: the last failed answer
     unsigned sends = 0;
     unsigned hedges = 0;
     unsigned retries = 0;
-    unsigned handedSeconds = 0; ///< hedges and retries that were delegated to other VMs
+    unsigned delegatedSecondSends = 0; ///< hedges and retries that were delegated to other VMs
     bool ended = false;
 
     [[nodiscard]] bool isDelegated() const
--- a/libs/gateway/src/leaf_choice.cpp
+++ b/libs/gateway/src/leaf_choice.cpp
@@ -23,7 +23,7 @@
 constexpr millis drainMargin(800); // for a request to reach the leaf: a new connection, and a leaf slow to read
 
 /** @return the expected time from the send to the answer, including the queue. */
-millis expectedTime(const leaf &candidate, const route_pace &latency, millis now)
+millis expectedTime(const leaf &candidate, const route_latency &latency, millis now)
 {
     return timeWithQueue(leafQueuePerSlot(candidate, latency, now), candidate, latency)
         * currentSlowness(candidate, now);
@@ -32,12 +32,12 @@
 /** @return requests per second that the leaf can handle from the whole fleet while it is cold; 0 for no limit. */
 double coldCapacity(const leaf &candidate, const route_table *table, millis now)
 {
-    return now < candidate.coldUntil && table != nullptr ? table->coldPerSecond(candidate.entry.service) : 0;
+    return now < candidate.coldUntil && table != nullptr ? table->maxColdRequestsPerSecond(candidate.entry.service) : 0;
 }
 
 } // namespace
 
-double leafQueuePerSlot(const leaf &candidate, const route_pace &latency, millis now)
+double leafQueuePerSlot(const leaf &candidate, const route_latency &latency, millis now)
 {
     double requestsAtLeaf = static_cast<double>(candidate.open.size());
     const millis fresh =
@@ -53,7 +53,7 @@
  * costs a fixed share of the objective, whatever the work: an answer in time gains nothing by being faster, so a wait
  * in the own zone's queue is cheaper than the traffic between zones until it takes a large part of the time.
  */
-double gateway_engine::expectedCost(const leaf &candidate, const route_pace &latency, millis now)
+double gateway_engine::expectedCost(const leaf &candidate, const route_latency &latency, millis now)
 {
     const double typical = latency.typical.estimate().count();
     const double objective = latency.objective.count();
@@ -72,8 +72,8 @@
     if (candidate.stalledSince() < now) {
         cost += objective * stallShare;
     }
-    if (candidate.othersFailAt > candidate.lastReplyAt) {
-        cost += objective * stallShare * decayed(1, now - candidate.othersFailAt, failingHalfLife);
+    if (candidate.peerSawUnreachableAt > candidate.lastReplyAt) {
+        cost += objective * stallShare * decayed(1, now - candidate.peerSawUnreachableAt, failingHalfLife);
     }
     if (candidate.isLeaving()) {
         cost += objective * leavingShare;
@@ -87,60 +87,61 @@
  * A leaf without a queue is asked however slow it seems: a VM on an eighth of a core that is late itself measures all
  * leafs as slow, and would abandon their shards.
  */
-bool gateway_engine::isOverloaded(const leaf &candidate, const route_pace &latency, millis timeLeft, millis now)
+bool gateway_engine::isOverloaded(const leaf &candidate, const route_latency &latency, millis timeLeft, millis now)
 {
     constexpr double spread = 1.3; // work varies by a third; with the mean, half of the last admitted would be late
     return leafQueuePerSlot(candidate, latency, now) > 0 && expectedTime(candidate, latency, now) * spread > timeLeft;
 }
 
-bool gateway_engine::setZoneEmptied(const zone_name &zone, bool drained, millis now)
+bool gateway_engine::setZoneDrained(const zone_name &zone, bool drained, millis now)
 {
-    return drained ? m_zones.empty(zone) : m_zones.giveBack(zone, now);
+    return drained ? m_zones.empty(zone) : m_zones.undrain(zone, now);
 }
 
 /** @return whether a request may go to the zone; a random share may while the zone is being undrained. */
 bool gateway_engine::admits(const zone_name &zone, millis now)
 {
-    const double share = m_zones.shareOf(zone, now);
+    const double share = m_zones.trafficShare(zone, now);
     return share >= 1 || m_random.uniform() < share;
 }
 
 /** @return false if the leaf is cold with a limited capacity and this VM has no free admission slot for it; see
- *  @ref coldTurnOf. */
+ *  @ref coldAdmissionSlotAt. */
 bool gateway_engine::mayAskCold(const leaf &candidate, millis now) const
 {
     const double capacity = coldCapacity(candidate, m_table.get(), now);
     if (capacity <= 0) {
         return true;
     }
-    const auto slot = coldTurnOf(digestOf(candidate.entry.id), {m_fleetSize, m_seed}, capacity, now);
-    return slot.has_value() && slot != candidate.coldTurnUsed;
+    const auto slot = coldAdmissionSlotAt(digestOf(candidate.entry.id), {m_fleetSize, m_seed}, capacity, now);
+    return slot.has_value() && slot != candidate.lastColdAdmissionSlot;
 }
 
 void gateway_engine::useColdSlot(leaf &asked, millis now) const
 {
     const double capacity = coldCapacity(asked, m_table.get(), now);
     if (capacity > 0) {
-        asked.coldTurnUsed = coldTurnOf(digestOf(asked.entry.id), {m_fleetSize, m_seed}, capacity, now);
+        asked.lastColdAdmissionSlot =
+            coldAdmissionSlotAt(digestOf(asked.entry.id), {m_fleetSize, m_seed}, capacity, now);
     }
 }
 
 bool gateway_engine::mayAsk(const leaf &candidate, millis now) const
 {
-    if (m_zones.isEmptied(candidate.entry.zone)) {
+    if (m_zones.isDrained(candidate.entry.zone)) {
         return false;
     }
     if (candidate.misdirected || candidate.entryUnreadable || now < candidate.downUntil) {
         return false;
     }
-    if (candidate.failuresInRow > 0 && !candidate.open.empty()) {
+    if (candidate.consecutiveFailures > 0 && !candidate.open.empty()) {
         return false; // one request at a time probes whether the leaf is back
     }
     if (!mayAskCold(candidate, now)) {
         return false;
     }
     const millis drainEnd = m_settings.drainLimit - std::min(drainMargin, m_settings.drainLimit * 0.5);
-    if (now >= candidate.drainSeenAt + drainEnd || now >= candidate.removeAt) {
+    if (now >= candidate.drainingSince + drainEnd || now >= candidate.removeAt) {
         return false;
     }
     const millis stalled = candidate.stalledSince();
@@ -164,7 +165,7 @@
     for (const std::shared_ptr<leaf> &candidate : m_leafs.of(call.service)) {
         const bool tried = std::ranges::find(call.tried, candidate) != call.tried.end();
         if (tried || !mayAsk(*candidate, now)) {
-            best.drained = m_zones.isEmptied(candidate->entry.zone) ? &candidate->entry.zone : best.drained;
+            best.drained = m_zones.isDrained(candidate->entry.zone) ? &candidate->entry.zone : best.drained;
             continue;
         }
         if (candidate->open.size() >= share) {
--- a/libs/gateway/src/leaf_health.cpp
+++ b/libs/gateway/src/leaf_health.cpp
@@ -17,9 +17,9 @@
 constexpr millis maxDownTime(2000); // a leaf that came back is detected within this time
 constexpr unsigned maxBrokenInRow = 3; // healthy leafs also have single broken answers
 
-millis downFor(unsigned failuresInRow)
+millis downFor(unsigned consecutiveFailures)
 {
-    const millis time = initialDownTime * std::exp2(std::min(failuresInRow, 8U) - 1.0);
+    const millis time = initialDownTime * std::exp2(std::min(consecutiveFailures, 8U) - 1.0);
     return std::min(time, maxDownTime);
 }
 
@@ -72,10 +72,10 @@
     constexpr double safety = 0.75; // of the fixed part: restarted VMs no longer know what they spent
     const double fixedPart =
         m_settings.retrySlack * safety / static_cast<double>(std::max<std::size_t>(1, m_fleetSize));
-    return budgetOf(service).tryTake(fixedPart, reserve, now);
+    return budgetOf(service).tryAcquire(fixedPart, reserve, now);
 }
 
-route_pace &gateway_engine::latencyOf(const gateway_route &route)
+route_latency &gateway_engine::latencyOf(const gateway_route &route)
 {
     return m_routeLatencies.try_emplace(route.name, route.objective).first->second;
 }
@@ -83,7 +83,7 @@
 /** Logs a change of the leaf's health as seen by this process. */
 void gateway_engine::logLeafHealth(std::string_view event, std::string_view cause, const leaf &about, millis input)
 {
-    note_action change;
+    log_event_action change;
     change.event = event;
     change.cause = cause;
     change.leafId = about.entry.id;
@@ -111,7 +111,7 @@
     if (from.downUntil > millis()) {
         logLeafHealth("leaf_answers_again", "reply", from, now - ended.sentAt);
     }
-    from.failuresInRow = 0;
+    from.consecutiveFailures = 0;
     from.downUntil = millis();
     if (reply.wrongInstance && !from.misdirected) {
         logLeafHealth("leaf_address_given_away", "wrong_instance", from, now - ended.sentAt);
@@ -152,11 +152,11 @@
 
 void gateway_engine::updateLeafOnFailure(leaf &from, send_failure failure, millis now)
 {
-    from.failuresInRow += 1;
+    from.consecutiveFailures += 1;
     from.failing = from.failing * (1 - failureWeight) + failureWeight;
     from.failingAt = now;
-    if (failure != send_failure::Broken || from.failuresInRow >= maxBrokenInRow) {
-        from.downUntil = now + downFor(from.failuresInRow);
+    if (failure != send_failure::Broken || from.consecutiveFailures >= maxBrokenInRow) {
+        from.downUntil = now + downFor(from.consecutiveFailures);
         logLeafHealth(
             "leaf_down", failure == send_failure::TimedOut ? "silent" : "unreachable", from, from.downUntil - now);
         reportIfChanged(from, now);
--- a/libs/gateway/src/leaf_reports.cpp
+++ b/libs/gateway/src/leaf_reports.cpp
@@ -26,13 +26,13 @@
 void gateway_engine::reportIfChanged(leaf &about, millis now)
 {
     const bool unreachable = about.downUntil > now;
-    about.toldSlowness = 1 + decayed(about.toldSlowness - 1, now - about.toldAt, slownessHalfLife);
-    about.toldAt = now;
-    if (unreachable == about.toldUnreachable && !isWorthReporting(about.slowness, about.toldSlowness)) {
+    about.fleetSlowness = 1 + decayed(about.fleetSlowness - 1, now - about.fleetSlownessAt, slownessHalfLife);
+    about.fleetSlownessAt = now;
+    if (unreachable == about.reportedUnreachable && !isWorthReporting(about.slowness, about.fleetSlowness)) {
         return;
     }
-    about.toldUnreachable = unreachable;
-    about.toldSlowness = about.slowness;
+    about.reportedUnreachable = unreachable;
+    about.fleetSlowness = about.slowness;
     const leaf_digest digest = digestOf(about.entry.id);
     m_reports[digest] = {digest, digestOf(m_settings.zone), about.slowness, unreachable, now};
 }
@@ -61,17 +61,17 @@
 bool gateway_engine::applyReport(const leaf_report &report)
 {
     const std::shared_ptr<leaf> about = m_leafs.find(report.leaf);
-    if (!about || report.observedAt <= about->bornHereAt) {
+    if (!about || report.observedAt <= about->restartSeenAt) {
         return false; // an unknown leaf, or an earlier incarnation with the same id
     }
     const bool ownZone = report.observer == digestOf(m_settings.zone);
     if (report.unreachable) {
-        about->othersFailAt = std::max(about->othersFailAt, report.observedAt);
+        about->peerSawUnreachableAt = std::max(about->peerSawUnreachableAt, report.observedAt);
         return false;
     }
     const millis precedence = ownZone ? millis() : ownZonePrecedence;
-    if (report.observedAt > about->othersFailAt + precedence) {
-        about->othersFailAt = millis() - millis::never();
+    if (report.observedAt > about->peerSawUnreachableAt + precedence) {
+        about->peerSawUnreachableAt = millis() - millis::never();
     }
     if (report.observedAt <= about->slownessAt + precedence) {
         return false;
@@ -79,8 +79,8 @@
     const bool wasSlow = about->slowness >= slowLogThreshold;
     about->slowness = report.slowness;
     about->slownessAt = report.observedAt;
-    about->toldSlowness = report.slowness;
-    about->toldAt = report.observedAt;
+    about->fleetSlowness = report.slowness;
+    about->fleetSlownessAt = report.observedAt;
     return wasSlow != (about->slowness >= slowLogThreshold);
 }
 
--- a/libs/gateway/src/outgoing_delegations.cpp
+++ b/libs/gateway/src/outgoing_delegations.cpp
@@ -48,7 +48,7 @@
     call.sends += 1;
     call.waiting = false;
     call.nextHedge = millis::never();
-    work.handedSeconds += 1;
+    work.delegatedSecondSends += 1;
     work.secondSends[std::move(helper)].push_back(at);
 }
 
@@ -75,7 +75,7 @@
     action.work.attempt = work.evidence->attempt;
     action.work.topRecords = work.route->topRecords;
     action.work.objective = work.route->objective;
-    action.work.speakIn = work.latency->hedgeAfter();
+    action.work.firstReportIn = work.latency->hedgeDelay();
     action.work.cutoffIn = std::max(work.cutoff - now - hopMargin, hopMargin);
     action.work.limitIn = std::max(work.limit - now - hopMargin, hopMargin);
     action.work.alone = second;
@@ -91,7 +91,7 @@
     made.helper = helper;
     made.shardDone.resize(calls.size());
     made.calls = std::move(calls);
-    made.firstReportTimeout = action.work.speakIn * reportTimeoutFactor + hopMargin * 2;
+    made.firstReportTimeout = action.work.firstReportIn * reportTimeoutFactor + hopMargin * 2;
     m_due.push({now + made.firstReportTimeout, due_kind::Delegation, action.id});
     work.delegations.push_back(action.id);
     work.sends += 1;
@@ -198,7 +198,7 @@
     shard_call &call = work.calls[at];
     call.openDelegations -= 1;
     call.mayHaveRun -= lost.mayHaveRun ? 0 : 1;
-    if (lost.leafEnded) {
+    if (lost.leafCrashed) {
         recordLeafCrash(work, lost.leafId);
     }
     if (std::shared_ptr<leaf> asked = m_leafs.find(lost.leafId)) {
--- a/libs/gateway/tests/gateway_world.h
+++ b/libs/gateway/tests/gateway_world.h
@@ -98,7 +98,7 @@
             std::ranges::for_each(route.split, [&](const auto &one) { serviceNames.insert(one.service.value); });
         }
         for (const std::string &name : serviceNames) {
-            config.services.push_back({{name}, 100, coldPerSecond});
+            config.services.push_back({{name}, 100, maxColdRequestsPerSecond});
         }
         engine.applyConfig(std::move(config));
     }
@@ -152,7 +152,7 @@
         behaviours.at(id).refusesConnections = true;
         constexpr millis detectionDelay(0.3);
         for (const send_id send : m_runningSends[id]) {
-            scheduleIn(detectionDelay, [this, send] { engine.onSendFailed(send, send_failure::LeafEnded, now); });
+            scheduleIn(detectionDelay, [this, send] { engine.onSendFailed(send, send_failure::LeafCrashed, now); });
         }
     }
 
@@ -229,14 +229,15 @@
     };
 
     gateway_engine engine;
-    double coldPerSecond = 0; ///< requests per second that the fleet may send to a cold leaf, for every service
+    double maxColdRequestsPerSecond =
+        0; ///< requests per second that the fleet may send to a cold leaf, for every service
     millis now {10000};
     std::map<std::string, fake_leaf_behaviour> behaviours;
     std::map<exchange_id, timed_answer> answers;
     std::vector<leaf_arrival> runs; ///< requests that leafs started to run
     std::vector<leaf_arrival> arrivals; ///< requests that leafs started to run or refused
     std::vector<std::pair<send_id, millis>> cancels;
-    std::vector<verdict_action> verdicts;
+    std::vector<quarantine_update_action> verdicts;
     std::string caller = "caller";
     /** Whether a leaf that runs the exchange crashes @ref crashDelay after it starts. */
     std::function<bool(exchange_id)> crashesLeaf = [](exchange_id) { return false; };
@@ -255,7 +256,7 @@
                 } else if (auto *answer = std::get_if<answer_action>(&action)) {
                     const exchange_id exchange = answer->exchange;
                     answers[exchange] = {std::move(*answer), now};
-                } else if (const auto *verdict = std::get_if<verdict_action>(&action)) {
+                } else if (const auto *verdict = std::get_if<quarantine_update_action>(&action)) {
                     verdicts.push_back(*verdict);
                 }
             }
--- a/libs/gateway/tests/test_emptied_zones_sends.cpp
+++ b/libs/gateway/tests/test_emptied_zones_sends.cpp
@@ -37,14 +37,14 @@
 
     void drainZone(const std::string &zone)
     {
-        BOOST_REQUIRE(engine.setZoneEmptied({zone}, true, now));
+        BOOST_REQUIRE(engine.setZoneDrained({zone}, true, now));
         runs.clear();
         arrivals.clear();
     }
 
     void undrainZone(const std::string &zone)
     {
-        BOOST_REQUIRE(engine.setZoneEmptied({zone}, false, now));
+        BOOST_REQUIRE(engine.setZoneDrained({zone}, false, now));
         runs.clear();
     }
 
@@ -124,7 +124,7 @@
         BOOST_CHECK(world.answerOf(id).at == submittedAt);
         BOOST_CHECK(answer.outcome == exchange_outcome::Refused);
         BOOST_CHECK_EQUAL(answer.cause, "zone_emptied");
-        BOOST_CHECK(answer.emptiedZone.value == north || answer.emptiedZone.value == south);
+        BOOST_CHECK(answer.drainedZone.value == north || answer.drainedZone.value == south);
         BOOST_CHECK(answer.retryAfter >= millis(500));
         BOOST_CHECK(world.arrivals.empty());
     }
@@ -144,7 +144,7 @@
     const answer_action &answer = world.submitAndWait("/all/x");
     BOOST_CHECK(answer.outcome == exchange_outcome::Merged);
     BOOST_CHECK_EQUAL(answer.missing, 1U);
-    BOOST_CHECK_EQUAL(answer.emptiedZone.value, north);
+    BOOST_CHECK_EQUAL(answer.drainedZone.value, north);
     BOOST_CHECK(answer.elapsed <= millis(20));
 }
 
@@ -161,7 +161,7 @@
     for (std::size_t at = 0; at < 150; ++at) { // the leaf accepts 100 connections
         exchanges.push_back(world.submit("/one/" + std::to_string(at)));
     }
-    world.engine.setZoneEmptied({north}, true, world.now);
+    world.engine.setZoneDrained({north}, true, world.now);
     world.arrivals.clear();
     const millis drainedAt = world.now;
     world.runFor(millis(10));
@@ -216,7 +216,7 @@
 BOOST_AUTO_TEST_CASE(requests_with_leafs_only_in_an_undrained_zone_are_served_during_the_ramp)
 {
     two_zone_world world;
-    world.engine.setZoneEmptied({south}, true, world.now);
+    world.engine.setZoneDrained({south}, true, world.now);
     world.drainZone(north);
     world.undrainZone(north);
     for (std::size_t at = 0; at < 20; ++at) {
@@ -230,7 +230,7 @@
 {
     for (const std::size_t informedVm : {0U, 1U}) {
         two_vms world;
-        world.engineOf(informedVm).setZoneEmptied({"there"}, true, world.now);
+        world.engineOf(informedVm).setZoneDrained({"there"}, true, world.now);
         const exchange_id id = world.submit();
         world.runFor(millis(700));
         BOOST_CHECK(world.runs.empty() || informedVm == 1);
--- a/libs/gateway/tests/test_gateway.cpp
+++ b/libs/gateway/tests/test_gateway.cpp
@@ -480,7 +480,7 @@
     constexpr std::size_t vms = 8;
     constexpr double coldLimit = 4;
     gateway_world world;
-    world.coldPerSecond = coldLimit;
+    world.maxColdRequestsPerSecond = coldLimit;
     world.publish({gateway_world::gatherRoute(2, 0.5)});
     world.addShards(2, 1);
     world.engine.setFleetSize(vms);
--- a/libs/gateway/tests/test_helpers.cpp
+++ b/libs/gateway/tests/test_helpers.cpp
@@ -145,7 +145,8 @@
         BOOST_TEST(world.answers.at(id).missing == 0U);
         BOOST_TEST(world.answers.at(id).elapsed.count() < 90);
         BOOST_TEST(world.sends[0] == 0U);
-        BOOST_TEST(world.answers.at(id).handedSeconds == world.answers.at(id).hedges + world.answers.at(id).retries);
+        BOOST_TEST(world.answers.at(id).delegatedSecondSends
+                   == world.answers.at(id).hedges + world.answers.at(id).retries);
         BOOST_TEST(world.maxRunsPerShard() <= 2U);
         BOOST_TEST(hasEachShardOnce(world.answers.at(id)));
     }
@@ -293,7 +294,7 @@
     {
         gateway_settings settings;
         settings.zone = {"here"};
-        settings.shardsAtOnce = 15; // two groups of shards, with two VMs each
+        settings.maxShardsPerVm = 15; // two groups of shards, with two VMs each
         return settings;
     }
 
--- a/libs/gateway/tests/test_leaf_reports.cpp
+++ b/libs/gateway/tests/test_leaf_reports.cpp
@@ -141,9 +141,9 @@
     leaf_entry entry;
     entry.id = "single-1";
     entry.service = {"single"};
-    entry.bornAt = millis(1e12);
+    entry.leafStartedAt = millis(1e12);
     world.engine.leafs().put(entry, millis(1000));
-    entry.bornAt = millis(1e12 + 9000);
+    entry.leafStartedAt = millis(1e12 + 9000);
     world.engine.leafs().put(entry, millis(10000));
     const leaf_digest digest = digestOf("single-1");
     const leaf_report early[] = {{digest, 0, 20, false, millis(9990)}};
--- a/libs/gateway/tests/test_request_trials.cpp
+++ b/libs/gateway/tests/test_request_trials.cpp
@@ -200,12 +200,13 @@
     const std::vector<gateway_world::leaf_arrival> started = world.runs;
     std::ranges::for_each(started, [&](const auto &one) { world.crashLeaf(one.leafId); });
     world.runFor(untilAllCrashed);
-    BOOST_CHECK(world.engine.requests().standingOf(world.keyOf("/all/ordinary"), world.now)
-                == request_standing::Suspect);
+    BOOST_CHECK(world.engine.requests().quarantineStateOf(world.keyOf("/all/ordinary"), world.now)
+                == quarantine_state::Suspect);
     const exchange_id retry = world.submitOrdinary("/all/ordinary");
     BOOST_CHECK(world.finalAnswer(retry).outcome == exchange_outcome::Merged);
     BOOST_CHECK(world.finalAnswer(retry).elapsed <= millis(30));
-    BOOST_CHECK(world.engine.requests().standingOf(world.keyOf("/all/ordinary"), world.now) == request_standing::Clear);
+    BOOST_CHECK(world.engine.requests().quarantineStateOf(world.keyOf("/all/ordinary"), world.now)
+                == quarantine_state::Clear);
 }
 
 // Guards against refusing a lookup that hundreds of callers send, for ten minutes and then for twenty: the leafs that
--- a/libs/gateway/tests/two_vms.h
+++ b/libs/gateway/tests/two_vms.h
@@ -214,10 +214,11 @@
                 std::visit([&](auto &one) { perform(vm, one); }, action);
             }
         }
-        const std::vector<request_evidence> evidence = m_vms[vm]->takeRequestNews();
+        const std::vector<request_evidence> evidence = m_vms[vm]->takeRequestEvidence();
         if (!evidence.empty()) {
             const std::size_t other = 1 - vm;
-            postMessage(other, [this, other, evidence] { std::ignore = m_vms[other]->onRequestNews(evidence, now); });
+            postMessage(other,
+                        [this, other, evidence] { std::ignore = m_vms[other]->onRequestEvidence(evidence, now); });
         }
     }
 
@@ -277,7 +278,7 @@
         constexpr millis restartDelay(1000);
         m_crashed.insert(id);
         scheduleIn(restartDelay, [this, id] { m_crashed.erase(id); });
-        failSend(vm, send, send_failure::LeafEnded);
+        failSend(vm, send, send_failure::LeafCrashed);
     }
 
     void perform(std::size_t, const cancel_action &)
@@ -290,15 +291,15 @@
         answers[answer.exchange] = std::move(answer);
     }
 
-    void perform(std::size_t, const note_action &)
+    void perform(std::size_t, const log_event_action &)
     {
     }
 
-    void perform(std::size_t, const asked_action &)
+    void perform(std::size_t, const asked_leafs_action &)
     {
     }
 
-    void perform(std::size_t, const verdict_action &)
+    void perform(std::size_t, const quarantine_update_action &)
     {
     }
 
@@ -306,7 +307,7 @@
     {
         postMessage(1, [this, action] {
             if (!m_accepted.contains(action.id)) { // the daemon also ignores a repeated delegation
-                m_accepted[action.id] = m_vms[1]->arriveDelegated("q", action.work, now);
+                m_accepted[action.id] = m_vms[1]->acceptDelegatedWork("q", action.work, now);
             }
         });
     }
@@ -320,7 +321,7 @@
             if (action.callerLeft) {
                 m_vms[1]->onCallerLeft(m_accepted[action.id], now);
             } else {
-                m_vms[1]->onUnneeded(m_accepted[action.id], now);
+                m_vms[1]->onDelegationCancelled(m_accepted[action.id], now);
             }
         });
     }
--- a/libs/leafs/include/leafs/leafs.h
+++ b/libs/leafs/include/leafs/leafs.h
@@ -26,7 +26,7 @@
  * Leafs need two seconds to write their entries again. Four seconds after an outage the data of the store counts as
  * reliable again, and a reader notices the end of the outage up to one second late.
  */
-inline constexpr millis lapseEcho(2500);
+inline constexpr millis outageExpiryWindow(2500);
 
 /** A leaf's own entry in the platform's store. */
 struct leaf_entry {
@@ -38,7 +38,7 @@
     bool draining = false;
     millis coldFor; ///< remaining time during which its caches are cold after its start
     /** Start of the process by its own wall clock. A later start under the same id is a new incarnation. */
-    std::optional<millis> bornAt;
+    std::optional<millis> leafStartedAt;
     std::uint64_t sequence = 0; ///< rises with each write of the entry; starts again with each incarnation
 };
 
@@ -65,14 +65,14 @@
 };
 
 /** Latency of the requests of one route at its leafs. */
-struct route_pace {
-    explicit route_pace(millis objective);
+struct route_latency {
+    explicit route_latency(millis objective);
 
     /** @param took time from the send to the answer. @param worked the part of it outside the leaf's queue. */
     void add(millis took, millis worked);
 
     /** @return time without an answer after which a hedge is sent to a second leaf. */
-    [[nodiscard]] millis hedgeAfter() const;
+    [[nodiscard]] millis hedgeDelay() const;
 
     quantile_tracker typical; ///< median time without the leaf's queue
     quantile_tracker slow; ///< high quantile of the time with the leaf's queue
@@ -97,7 +97,7 @@
 
     /** @param fixedAllowance extra sends of this VM in each window besides the share of its requests.
      *  @param reserve share of the allowance that is not used. @return whether the extra send may be made. */
-    [[nodiscard]] bool tryTake(double fixedAllowance, double reserve, millis now);
+    [[nodiscard]] bool tryAcquire(double fixedAllowance, double reserve, millis now);
 
 private:
     struct slice {
@@ -134,7 +134,7 @@
  * @param perSecond requests that the leaf sustains, above 0. @return the current slot; nothing between slots.
  */
 [[nodiscard]] std::optional<cold_admission_slot>
-coldTurnOf(leaf_digest leaf, const cold_admission_fleet &fleet, double perSecond, millis now);
+coldAdmissionSlotAt(leaf_digest leaf, const cold_admission_fleet &fleet, double perSecond, millis now);
 
 /** Load of a leaf, as reported in its answers. */
 struct leaf_load {
@@ -178,8 +178,9 @@
 
     leaf_entry entry;
     millis coldUntil;
-    std::optional<cold_admission_slot> coldTurnUsed; ///< the last admission slot in which this VM asked the leaf
-    millis drainSeenAt = millis::never(); ///< earliest time since which the leaf may be leaving
+    std::optional<cold_admission_slot>
+        lastColdAdmissionSlot; ///< the last admission slot in which this VM asked the leaf
+    millis drainingSince = millis::never(); ///< earliest time since which the leaf may be leaving
     millis missingSince = millis::never(); ///< earliest time since which its entry may be missing from the store
     bool mayHaveExpired = false; ///< its entry may be missing only because of a store outage
     millis removeAt = millis::never(); ///< when the leaf is removed from the directory
@@ -188,26 +189,27 @@
     bool misdirected = false; ///< another instance answered at its address
     /** The entry was overwritten by another writer; the leaf is not asked until its entry is written again. */
     bool entryUnreadable = false;
-    millis bornHereAt = millis() - millis::never(); ///< reports from before this time concern the previous incarnation
+    millis restartSeenAt =
+        millis() - millis::never(); ///< reports from before this time concern the previous incarnation
     std::vector<open_send> open;
     millis lastReplyAt = millis() - millis::never();
     double slowness = 1; ///< its processing time relative to the typical time of the route
     millis slownessAt; ///< when the slowness was last measured
-    double toldSlowness = 1; ///< slowness as last reported to or by the other VMs
-    millis toldAt; ///< time of that value; it decays in all VMs alike
-    bool toldUnreachable = false; ///< reachability as last reported by this VM
-    millis othersFailAt = millis() - millis::never(); ///< when another VM last found the leaf unreachable
+    double fleetSlowness = 1; ///< slowness as last reported to or by the other VMs
+    millis fleetSlownessAt; ///< time of that value; it decays in all VMs alike
+    bool reportedUnreachable = false; ///< reachability as last reported by this VM
+    millis peerSawUnreachableAt = millis() - millis::never(); ///< when another VM last found the leaf unreachable
     /** Average processing time over the requests of all routes in the proportion in which they arrive; 0 before the
      * first request. */
-    millis mixedWork;
+    millis averageServiceTime;
     double failing = 0; ///< share of failures among recent answers
     millis failingAt;
     double refusing = 0; ///< share of refusals among recent answers
     millis refusingAt;
     unsigned keptConnections = 0; ///< idle connections that the next request can use
     /** When it accepted a new connection after another one had closed without an answer. */
-    millis takesConnectionsAt = millis() - millis::never();
-    unsigned failuresInRow = 0; ///< consecutive failures without an answer in between
+    millis reconnectedAt = millis() - millis::never();
+    unsigned consecutiveFailures = 0; ///< consecutive failures without an answer in between
     millis downUntil = millis() - millis::never();
     leaf_load load;
     millis loadAt = millis() - millis::never();
@@ -234,7 +236,7 @@
     millis missingSince;
     bool mayHaveExpired = false; ///< its entry may have expired because of a store outage
     bool draining = false; ///< according to its own entry
-    std::optional<millis> bornAt;
+    std::optional<millis> leafStartedAt;
     millis keptUntil;
 };
 
@@ -255,7 +257,7 @@
     }
 
     /** Records that the store does not answer: entries expire, and their leafs write them again after the outage. */
-    void noteStoreTrouble(millis now)
+    void recordStoreFailure(millis now)
     {
         m_storeFailedAt = now;
     }
@@ -268,7 +270,7 @@
     }
 
     /** @return the highest possible age of a change that is received now. */
-    [[nodiscard]] millis ageOfNews(millis now) const
+    [[nodiscard]] millis maxUpdateAge(millis now) const
     {
         return now - std::min(now, m_currentAsOf);
     }
@@ -298,7 +300,7 @@
         return m_byId.size();
     }
 
-    [[nodiscard]] std::size_t countIn(const zone_name &zone) const;
+    [[nodiscard]] std::size_t countInZone(const zone_name &zone) const;
 
 private:
     [[nodiscard]] bool isWithinOutageWindow(millis now) const;
--- a/libs/leafs/src/cold_admission.cpp
+++ b/libs/leafs/src/cold_admission.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 std::optional<cold_admission_slot>
-coldTurnOf(leaf_digest leaf, const cold_admission_fleet &fleet, double perSecond, millis now)
+coldAdmissionSlotAt(leaf_digest leaf, const cold_admission_fleet &fleet, double perSecond, millis now)
 {
     const double fleetRate = perSecond * admittedShare;
     const auto vms = static_cast<double>(std::max<std::size_t>(1, fleet.size));
--- a/libs/leafs/src/latency_estimates.cpp
+++ b/libs/leafs/src/latency_estimates.cpp
@@ -26,20 +26,20 @@
     m_estimate = std::max(m_estimate, minEstimate);
 }
 
-route_pace::route_pace(millis latencyObjective)
+route_latency::route_latency(millis latencyObjective)
     : typical(0.5, latencyObjective * initialMedianShare)
     , slow(hedgeQuantile, latencyObjective * initialTailShare)
     , objective(latencyObjective)
 {
 }
 
-void route_pace::add(millis took, millis worked)
+void route_latency::add(millis took, millis worked)
 {
     typical.add(worked);
     slow.add(took);
 }
 
-millis route_pace::hedgeAfter() const
+millis route_latency::hedgeDelay() const
 {
     const millis minDelay = typical.estimate() * minHedgeOverMedian;
     const millis maxDelay = std::max(minDelay, objective * maxHedgeOverObjective);
--- a/libs/leafs/src/leaf_directory.cpp
+++ b/libs/leafs/src/leaf_directory.cpp
@@ -29,16 +29,16 @@
  */
 bool isOutdated(const leaf_entry &entry, const leaf_entry &known)
 {
-    if (!entry.bornAt || !known.bornAt) {
+    if (!entry.leafStartedAt || !known.leafStartedAt) {
         return false; // a lower sequence may also belong to a new incarnation
     }
-    return *entry.bornAt < *known.bornAt || entry.sequence < known.sequence;
+    return *entry.leafStartedAt < *known.leafStartedAt || entry.sequence < known.sequence;
 }
 
 removed_leaf removedStateOf(const leaf &removed, millis now)
 {
-    const millis since = std::min(removed.drainSeenAt, removed.missingSince);
-    return {since, removed.mayHaveExpired, removed.entry.draining, removed.entry.bornAt, now + removedRetention};
+    const millis since = std::min(removed.drainingSince, removed.missingSince);
+    return {since, removed.mayHaveExpired, removed.entry.draining, removed.entry.leafStartedAt, now + removedRetention};
 }
 
 } // namespace
@@ -68,7 +68,7 @@
 
 std::optional<millis> leaf::leavingSince() const
 {
-    const millis since = std::min(drainSeenAt, missingSince);
+    const millis since = std::min(drainingSince, missingSince);
     return since < millis::never() ? std::optional(since) : std::nullopt;
 }
 
@@ -86,7 +86,7 @@
     return isLeaving() ? "doubtful" : "ready";
 }
 
-std::size_t leaf_directory::countIn(const zone_name &zone) const
+std::size_t leaf_directory::countInZone(const zone_name &zone) const
 {
     return static_cast<std::size_t>(
         std::ranges::count_if(m_byId, [&](const auto &one) { return one.second->entry.zone == zone; }));
@@ -95,7 +95,7 @@
 /** Whether an entry that is found missing now may have expired only because of a store outage. */
 bool leaf_directory::isWithinOutageWindow(millis now) const
 {
-    return now - m_storeFailedAt < lapseEcho;
+    return now - m_storeFailedAt < outageExpiryWindow;
 }
 
 /** @return earliest time since which an entry that is missing now may have been missing. An entry that expired in an
@@ -113,12 +113,12 @@
         return true;
     }
     leaf &known = *found->second;
-    if (startedLater(entry.bornAt, known.entry.bornAt)) {
+    if (startedLater(entry.leafStartedAt, known.entry.leafStartedAt)) {
         // The new incarnation has no state of the previous one: its drain, slowness and failures do not apply.
         unlink(known);
         m_byId.erase(found);
         add(entry, now);
-        m_byId.at(entry.id)->bornHereAt = now;
+        m_byId.at(entry.id)->restartSeenAt = now;
         return true;
     }
     return !isOutdated(entry, known.entry) && update(known, entry, now);
@@ -129,9 +129,9 @@
     auto added = std::make_shared<leaf>(entry);
     added->coldUntil = now + std::min(entry.coldFor, maxColdTime);
     // The start of the drain is unknown here; the leaf may already have drained for its whole drain time.
-    added->drainSeenAt = entry.draining ? millis() : millis::never();
+    added->drainingSince = entry.draining ? millis() : millis::never();
     if (const auto before = m_removed.find(entry.id); before != m_removed.end()) {
-        if (!startedLater(entry.bornAt, before->second.bornAt)) {
+        if (!startedLater(entry.leafStartedAt, before->second.leafStartedAt)) {
             markReturned(*added, before->second, now);
         }
         m_removed.erase(before);
@@ -149,7 +149,7 @@
     const bool drainsNow = entry.draining && !known.entry.draining;
     if (drainsNow) {
         known.entry.draining = true; // until the process ends: an entry that says otherwise was written before
-        known.drainSeenAt = std::min({known.drainSeenAt, now, m_currentAsOf});
+        known.drainingSince = std::min({known.drainingSince, now, m_currentAsOf});
     }
     if (returned) {
         markReturned(known, removedStateOf(known, now), now);
@@ -184,7 +184,7 @@
     if (before.mayHaveExpired && !known.entry.draining) {
         return;
     }
-    known.drainSeenAt = std::min(known.drainSeenAt, before.missingSince);
+    known.drainingSince = std::min(known.drainingSince, before.missingSince);
     known.unconfirmedUntil = std::max(now, before.missingSince + maxWriteDelay) + m_heartbeat * confirmationHeartbeats;
     m_nextExpiry = std::min(m_nextExpiry, known.unconfirmedUntil);
 }
@@ -196,7 +196,7 @@
     const bool unconfirmed = known.unconfirmedUntil > millis();
     if (unconfirmed && known.unconfirmedUntil <= std::min(now, m_currentAsOf) && known.removeAt == millis::never()) {
         known.unconfirmedUntil = millis() - millis::never();
-        known.drainSeenAt = known.entry.draining ? known.drainSeenAt : millis::never();
+        known.drainingSince = known.entry.draining ? known.drainingSince : millis::never();
     }
 }
 
--- a/libs/leafs/src/retry_budget.cpp
+++ b/libs/leafs/src/retry_budget.cpp
@@ -28,7 +28,7 @@
     current(now).requests += 1;
 }
 
-bool retry_budget::tryTake(double fixedAllowance, double reserve, millis now)
+bool retry_budget::tryAcquire(double fixedAllowance, double reserve, millis now)
 {
     slice &latest = current(now);
     double requests = 0;
--- a/libs/leafs/tests/test_leafs.cpp
+++ b/libs/leafs/tests/test_leafs.cpp
@@ -46,13 +46,13 @@
     leaf_entry entry = entryOf("a");
     entry.draining = true;
     directory.put(entry, millis(50000));
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis()));
+    BOOST_TEST((directory.find("a")->drainingSince == millis()));
     entry.id = "b";
     entry.draining = false;
     directory.put(entry, millis(50000));
     entry.draining = true;
     directory.put(entry, millis(51000));
-    BOOST_TEST((directory.find("b")->drainSeenAt == millis(51000)));
+    BOOST_TEST((directory.find("b")->drainingSince == millis(51000)));
 }
 
 // Guards against a VM that asks a leaf 3.3 s after the store knew that it leaves. The VM reaches the store again 1.5 s
@@ -65,7 +65,7 @@
     directory.noteCurrent(millis(2000));
     entry.draining = true;
     directory.put(entry, millis(15000));
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis(2000)));
+    BOOST_TEST((directory.find("a")->drainingSince == millis(2000)));
 }
 
 // Guards against requests to a leaf 3.2 s after the store knew that it leaves. Its entry is removed, and a heartbeat
@@ -80,7 +80,7 @@
     directory.put(entry, millis(20100));
     const std::shared_ptr<leaf> known = directory.find("a");
     BOOST_TEST(known->isLeaving());
-    BOOST_TEST((known->drainSeenAt == millis(20000)));
+    BOOST_TEST((known->drainingSince == millis(20000)));
     directory.expire(millis(23000));
     BOOST_TEST(known->isLeaving());
     // A second write may come two seconds after the removal, and expires three intervals after that.
@@ -89,7 +89,7 @@
     // The entry was not removed again: the return is confirmed.
     directory.expire(millis(26900));
     BOOST_TEST(!known->isLeaving());
-    BOOST_TEST((known->drainSeenAt == millis::never()));
+    BOOST_TEST((known->drainingSince == millis::never()));
 }
 
 // The same for a leaf that was removed before this process had seen its entry.
@@ -101,7 +101,7 @@
     BOOST_TEST(!directory.remove("a", millis(20000)));
     directory.put(entry, millis(20100));
     BOOST_TEST(directory.find("a")->isLeaving());
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis(20000)));
+    BOOST_TEST((directory.find("a")->drainingSince == millis(20000)));
     directory.expire(millis(26700));
     BOOST_TEST(directory.find("a")->isLeaving());
     directory.expire(millis(26900));
@@ -119,7 +119,7 @@
     BOOST_TEST(directory.expire(millis(22300)) == 1U);
     directory.put(entry, millis(25500));
     BOOST_TEST(directory.find("a")->isLeaving());
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis(20000)));
+    BOOST_TEST((directory.find("a")->drainingSince == millis(20000)));
     directory.expire(millis(30200));
     BOOST_TEST(directory.find("a")->isLeaving());
     directory.expire(millis(30400));
@@ -131,7 +131,7 @@
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
-    entry.bornAt = millis(1e12);
+    entry.leafStartedAt = millis(1e12);
     directory.put(entry, millis(10000));
     entry.draining = true;
     directory.put(entry, millis(20000));
@@ -141,10 +141,10 @@
     directory.put(entry, millis(28000));
     directory.expire(millis(50000));
     BOOST_TEST(directory.find("a")->isLeaving());
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis(20000)));
+    BOOST_TEST((directory.find("a")->drainingSince == millis(20000)));
     directory.remove("a", millis(50000));
     directory.expire(millis(53000));
-    entry.bornAt = millis(1e12 + 1);
+    entry.leafStartedAt = millis(1e12 + 1);
     directory.put(entry, millis(54000));
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
@@ -214,7 +214,7 @@
     directory.setHeartbeat(millis(1200));
     leaf_entry entry = entryOf("a");
     directory.put(entry, millis(10000));
-    directory.noteStoreTrouble(millis(19000));
+    directory.recordStoreFailure(millis(19000));
     directory.remove("a", millis(20000));
     directory.put(entry, millis(21500));
     BOOST_TEST(!directory.find("a")->isLeaving());
@@ -232,7 +232,7 @@
             directory.remove("a", removedAt);
         }
         for (int at = 20000; at <= 22000; at += 100) {
-            directory.noteStoreTrouble(millis(at));
+            directory.recordStoreFailure(millis(at));
         }
         if (!before) {
             directory.remove("a", removedAt);
@@ -252,9 +252,9 @@
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
     directory.put(entry, millis(1000));
-    directory.noteStoreTrouble(millis(20000));
+    directory.recordStoreFailure(millis(20000));
     directory.remove("a", millis(20500));
-    directory.noteStoreTrouble(millis(21900));
+    directory.recordStoreFailure(millis(21900));
     directory.put(entry, millis(22300));
     BOOST_TEST(!directory.find("a")->isLeaving());
 }
@@ -269,12 +269,12 @@
             directory.put(entry, millis(10000));
         }
         directory.noteCurrent(millis(18900));
-        directory.noteStoreTrouble(millis(19000));
+        directory.recordStoreFailure(millis(19000));
         directory.remove("a", millis(20000));
         entry.draining = true;
         directory.put(entry, millis(21500));
         BOOST_TEST(directory.find("a")->isLeaving());
-        BOOST_TEST((directory.find("a")->drainSeenAt <= millis(18900)));
+        BOOST_TEST((directory.find("a")->drainingSince <= millis(18900)));
     }
 }
 
@@ -291,7 +291,7 @@
     BOOST_TEST(directory.find("a")->isLeaving());
     entry.draining = true;
     directory.put(entry, millis(3000));
-    BOOST_TEST((directory.find("a")->drainSeenAt == millis(2000)));
+    BOOST_TEST((directory.find("a")->drainingSince == millis(2000)));
 }
 
 // Guards against a restarted leaf that gets no requests for seconds, or only as a last resort. It drains, stops, and
@@ -302,15 +302,15 @@
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
     entry.address = "10.0.0.1:80";
-    entry.bornAt = millis(1e12);
+    entry.leafStartedAt = millis(1e12);
     entry.sequence = 40;
     entry.draining = true;
     directory.put(entry, millis(1000));
     const std::shared_ptr<leaf> earlier = directory.find("a");
-    earlier->failuresInRow = 3;
+    earlier->consecutiveFailures = 3;
     earlier->slowness = 9;
     directory.remove("a", millis(2000));
-    entry.bornAt = millis(1e12 + 5000);
+    entry.leafStartedAt = millis(1e12 + 5000);
     entry.sequence = 1;
     entry.draining = false;
     entry.address = "10.0.0.2:80";
@@ -318,7 +318,7 @@
     const std::shared_ptr<leaf> later = directory.find("a");
     BOOST_TEST(later != earlier);
     BOOST_TEST(!later->isLeaving());
-    BOOST_TEST((later->drainSeenAt == millis::never()));
+    BOOST_TEST((later->drainingSince == millis::never()));
     BOOST_TEST(later->slowness == 1);
     BOOST_TEST(later->entry.address == "10.0.0.2:80");
     BOOST_TEST(directory.of({"s"}).size() == 1U);
@@ -331,7 +331,7 @@
 {
     leaf_directory directory(millis(2200));
     leaf_entry entry = entryOf("a");
-    entry.bornAt = millis(1e12);
+    entry.leafStartedAt = millis(1e12);
     entry.sequence = 5;
     entry.draining = true;
     directory.put(entry, millis(1000));
@@ -341,7 +341,7 @@
     BOOST_TEST(!directory.put(overtaken, millis(1100)));
     BOOST_TEST(directory.find("a")->isLeaving());
     leaf_entry earlierIncarnation = entry;
-    earlierIncarnation.bornAt = millis(1e12 - 60000);
+    earlierIncarnation.leafStartedAt = millis(1e12 - 60000);
     earlierIncarnation.sequence = 900;
     earlierIncarnation.draining = false;
     BOOST_TEST(!directory.put(earlierIncarnation, millis(1200)));
@@ -387,12 +387,12 @@
         budget.countRequest(millis(100 * at));
     }
     unsigned taken = 0;
-    while (budget.tryTake(1, 0, millis(10000))) {
+    while (budget.tryAcquire(1, 0, millis(10000))) {
         ++taken;
     }
     BOOST_TEST(taken >= 19U);
     BOOST_TEST(taken <= 21U);
-    BOOST_TEST(!budget.tryTake(0, 0, millis(30000)));
+    BOOST_TEST(!budget.tryAcquire(0, 0, millis(30000)));
 }
 
 // Guards against a leaf that is treated as stalled because of one long request, although it answers others meanwhile.
@@ -421,7 +421,7 @@
             for (millis now(1000000); sent.size() < 60 * stepsOfSecond; now = now + step) {
                 double count = 0;
                 for (std::size_t vm = 0; vm < vms; ++vm) {
-                    const auto slot = coldTurnOf(7, {vms, vm + 1}, sustained, now);
+                    const auto slot = coldAdmissionSlotAt(7, {vms, vm + 1}, sustained, now);
                     count += slot && slot != used[vm] ? 1 : 0;
                     used[vm] = slot ? slot : used[vm];
                 }
--- a/libs/membership/include/membership/membership.h
+++ b/libs/membership/include/membership/membership.h
@@ -30,7 +30,7 @@
 };
 
 /** A heartbeat to send. */
-struct heartbeat_send {
+struct outgoing_heartbeat {
     vm_id to;
     heartbeat message;
 };
@@ -52,17 +52,17 @@
      * Applies the VM list of the platform. The list lags behind, so it determines only which VMs can be members and
      * which are leaving, not which are alive.
      */
-    void onList(const vm_list_document &list);
+    void onVmList(const vm_list_document &list);
 
     /** Applies a received heartbeat. @return the ack to send, unless the message is itself an ack. */
-    std::optional<heartbeat_send> onHeartbeat(const heartbeat &message, own_revisions own, millis now);
+    std::optional<outgoing_heartbeat> onHeartbeat(const heartbeat &message, own_revisions own, millis now);
 
     /** Marks a member as suspect without waiting for a missed ack, because its connection was refused or reset. */
     void onUnreachable(vm_id vm, millis now);
 
     /** Marks members as suspect after a missed ack, and suspects as gone after the suspicion timeout.
      *  @return the ping to send, if one is due. */
-    std::vector<heartbeat_send> tick(own_revisions own, millis now);
+    std::vector<outgoing_heartbeat> tick(own_revisions own, millis now);
 
     /** Announces that this process is about to stop, so that peers no longer choose it as a runner. */
     void startLeaving();
--- a/libs/membership/src/membership.cpp
+++ b/libs/membership/src/membership.cpp
@@ -28,7 +28,7 @@
     refreshRunners();
 }
 
-void membership::onList(const vm_list_document &list)
+void membership::onVmList(const vm_list_document &list)
 {
     for (auto &[id, entry] : m_members) {
         entry.listed = false;
@@ -51,7 +51,7 @@
     refreshRunners();
 }
 
-std::optional<heartbeat_send> membership::onHeartbeat(const heartbeat &message, own_revisions own, millis now)
+std::optional<outgoing_heartbeat> membership::onHeartbeat(const heartbeat &message, own_revisions own, millis now)
 {
     mergeRumour(message.self, now);
     for (const member_rumour &rumour : message.rumours) {
@@ -72,7 +72,7 @@
     heartbeat ack = compose(message.self.vm, own);
     ack.isAck = true;
     ack.nonce = message.nonce;
-    return heartbeat_send {message.self.vm, std::move(ack)};
+    return outgoing_heartbeat {message.self.vm, std::move(ack)};
 }
 
 void membership::onUnreachable(vm_id vm, millis now)
@@ -84,7 +84,7 @@
     }
 }
 
-std::vector<heartbeat_send> membership::tick(own_revisions own, millis now)
+std::vector<outgoing_heartbeat> membership::tick(own_revisions own, millis now)
 {
     const bool wasPaused = now - m_lastTick > m_settings.pauseThreshold;
     m_lastTick = now;
@@ -95,7 +95,7 @@
     }
     suspectUnackedMembers(now);
     expireSuspects(now);
-    std::vector<heartbeat_send> sends;
+    std::vector<outgoing_heartbeat> sends;
     if (now < m_nextPingAt) {
         return sends;
     }
--- a/libs/membership/tests/test_membership.cpp
+++ b/libs/membership/tests/test_membership.cpp
@@ -49,7 +49,7 @@
 BOOST_AUTO_TEST_CASE(unresponsive_member_becomes_suspect_then_gone_and_rejoins_on_heartbeat)
 {
     membership firstVm({1}, 100, {}, 1);
-    firstVm.onList(vmListOf(2));
+    firstVm.onVmList(vmListOf(2));
     millis now(1000);
     (void)firstVm.tick({}, now);
     BOOST_TEST(firstVm.isRunner({2}));
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(process_pause_does_not_make_other_members_suspect)
 {
     membership firstVm({1}, 100, {}, 1);
-    firstVm.onList(vmListOf(3));
+    firstVm.onVmList(vmListOf(3));
     (void)firstVm.tick({}, millis(1000));
     (void)firstVm.tick({}, millis(1200));
     (void)firstVm.tick({}, millis(11200));
@@ -88,8 +88,8 @@
 {
     membership firstVm({1}, 100, {}, 1);
     membership secondVm({2}, 200, {}, 2);
-    firstVm.onList(vmListOf(2));
-    secondVm.onList(vmListOf(2));
+    firstVm.onVmList(vmListOf(2));
+    secondVm.onVmList(vmListOf(2));
     heartbeat fromSecond;
     fromSecond.self = *secondVm.find({2});
     (void)firstVm.onHeartbeat(fromSecond, {}, millis(1000));
@@ -105,7 +105,7 @@
 BOOST_AUTO_TEST_CASE(leaving_member_is_no_runner_and_listed_count_includes_unreachable_members)
 {
     membership firstVm({1}, 100, {}, 1);
-    firstVm.onList(vmListOf(4));
+    firstVm.onVmList(vmListOf(4));
     heartbeat message;
     message.self = {{2}, 7, 1, member_state::Leaving};
     (void)firstVm.onHeartbeat(message, {}, millis(1000));
@@ -118,7 +118,7 @@
 BOOST_AUTO_TEST_CASE(heartbeats_carry_leaving_leafs)
 {
     membership firstVm({1}, 100, {}, 1);
-    firstVm.onList(vmListOf(2));
+    firstVm.onVmList(vmListOf(2));
     firstVm.spread({{5}, 1});
     const auto sends = firstVm.tick({}, millis(5000));
     BOOST_REQUIRE(sends.size() == 1);
--- a/libs/policy/include/policy/policy.h
+++ b/libs/policy/include/policy/policy.h
@@ -69,27 +69,28 @@
 struct runner_settings {
     replica_chooser chooser = least_in_flight();
     std::uint32_t extraInFlight = 1; ///< sent beyond a leaf's slots while many requests wait; hides the round-trip time
-    double extraFromWaiting = 2; ///< waiting requests per slot of a shard at which @ref extraInFlight takes effect
+    double extraMinWaitingPerSlot =
+        2; ///< waiting requests per slot of a shard at which @ref extraInFlight takes effect
     bool hedging = true;
     double hedgeQuantile = 0.93; ///< quantile of the service times after which a running request is hedged
     double hedgeBudget = 0.08; ///< hedges per first send, at most
     std::uint32_t maxHedges = 2; ///< for one shard of one lookup
-    bool hedgeOnlyOntoIdle = false; ///< true: hedge only onto free slots; false: up to the leaf's in-flight limit
+    bool hedgeOnlyOntoFreeSlots = false; ///< true: hedge only onto free slots; false: up to the leaf's in-flight limit
     bool hedgeBeforeQueue = true; ///< a due hedge takes the next free slot; if it wins, a straggler's slot is freed
     bool cancelLosers = true; ///< cancel the requests still at leafs when another one has answered the shard
     double retryBudget = 0.1; ///< retries after a failure per first send, at most
     std::uint32_t maxSends = 3; ///< first send and retries of one shard; hedges not counted
     bool admission = true; ///< refuse a request at once if its predicted wait is too long
-    double queueShare = 0.4; ///< share of the remaining time that a request may spend in the queue
+    double maxQueueWaitShare = 0.4; ///< share of the remaining time that a request may spend in the queue
     bool urgentFirst = true;
-    bool returnedFirst = true; ///< scheduled retries go before new ordinary requests
+    bool scheduledRetriesFirst = true; ///< scheduled retries go before new ordinary requests
     std::uint32_t ordinaryFloor = 8; ///< at least one send in this many is not urgent, if such a request waits
     bool dropExpired = true; ///< do not send a queued request that cannot be answered before its deadline
     bool ejectionEnabled = true;
     std::uint32_t failuresToEject = 5; ///< consecutive failures
     millis ejectionDuration {1000};
     double maxEjectedShare = 0.5; ///< of a shard's leafs; if more are to be avoided, they are used all the same
-    millis freshBound {2000}; ///< a leaf whose health was last confirmed longer ago gets no new work
+    millis maxHealthAge {2000}; ///< a leaf whose health was last confirmed longer ago gets no new work
     millis probeInterval {500}; ///< between health probes of a leaf in use
     millis initialServiceTime {10}; ///< assumed until service times have been measured
     bool checkReplies = true; ///< false only in tests that show what the check of snapshot, map and shard prevents
@@ -174,7 +175,7 @@
     snapshot_id snapshot;
     map_version version;
     snapshot_id heldSnapshot; ///< newest snapshot that the leaf holds, with @ref call_status::SnapshotGone
-    bool saysLeaving = false; ///< the leaf answered, and announces that it is leaving
+    bool announcesLeaving = false; ///< the leaf answered, and announces that it is leaving
     std::uint64_t incarnation = 0;
     millis retryAfter;
     std::vector<result_row> rows;
@@ -322,7 +323,7 @@
 
 /** Monotonic counters for metrics. */
 struct runner_counters {
-    std::uint64_t firstTries = 0;
+    std::uint64_t firstSends = 0;
     std::uint64_t retries = 0;
     std::uint64_t hedges = 0;
     std::uint64_t hedgeWins = 0;
--- a/libs/policy/src/leaf_table.cpp
+++ b/libs/policy/src/leaf_table.cpp
@@ -121,7 +121,7 @@
 {
     const leaf_state *state = find(leaf);
     return state != nullptr && !isLeaving(leaf) && state->healthConfirmedAt
-        && now - *state->healthConfirmedAt <= m_settings.freshBound;
+        && now - *state->healthConfirmedAt <= m_settings.maxHealthAge;
 }
 
 bool leaf_table::isLeaving(leaf_id leaf) const
@@ -139,7 +139,8 @@
 millis leaf_table::healthValidUntil(leaf_id leaf) const
 {
     const leaf_state *state = find(leaf);
-    return state != nullptr && state->healthConfirmedAt ? *state->healthConfirmedAt + m_settings.freshBound : millis();
+    return state != nullptr && state->healthConfirmedAt ? *state->healthConfirmedAt + m_settings.maxHealthAge
+                                                        : millis();
 }
 
 std::uint32_t leaf_table::inFlightLimit(leaf_id leaf, bool withExtra) const
--- a/libs/policy/src/runner_engine.cpp
+++ b/libs/policy/src/runner_engine.cpp
@@ -367,7 +367,7 @@
 void runner_engine::updateLeafHealth(const leaf_reply &reply, const call &ended, millis now, actions &out)
 {
     const leaving_leaf leaving {ended.leaf, reply.incarnation};
-    if ((reply.saysLeaving || reply.status == call_status::Leaving) && m_leafs.onLeaving(leaving)) {
+    if ((reply.announcesLeaving || reply.status == call_status::Leaving) && m_leafs.onLeaving(leaving)) {
         out.emplace_back(leaving_leaf_report {leaving});
     }
     switch (reply.status) {
--- a/libs/policy/src/runner_queue.cpp
+++ b/libs/policy/src/runner_queue.cpp
@@ -18,7 +18,7 @@
     }
     shard->recentScheduledRetries += stored.cameBack ? 1 : 0;
     const millis service = serviceOf(shardRef.service).times.mean(m_settings.initialServiceTime);
-    const millis acceptable = (deadline - now - service) * m_settings.queueShare;
+    const millis acceptable = (deadline - now - service) * m_settings.maxQueueWaitShare;
     const millis wait = predictedWait(*shard, stored, acceptable, now);
     if (m_settings.admission && wait > millis() && wait > acceptable) {
         refuse(id, *shard, wait - acceptable, now, out);
@@ -52,7 +52,7 @@
     // Scheduled retries that fall due during this wait go first. If they were left out of the prediction, new requests
     // would be admitted only to expire behind them.
     const bool goesAfterScheduledRetries =
-        m_settings.returnedFirst && rank == queue_rank::Ordinary && shard.recentRefusals > 0;
+        m_settings.scheduledRetriesFirst && rank == queue_rank::Ordinary && shard.recentRefusals > 0;
     // Capacity reserved for callers that do not retry would stay idle: only the share that recently retried counts.
     const double scheduledRetryRatio =
         goesAfterScheduledRetries ? std::min(1.0, shard.recentScheduledRetries / shard.recentRefusals) : 0;
@@ -160,7 +160,7 @@
     if (m_settings.urgentFirst && entry.priority == urgency::Urgent) {
         return queue_rank::Urgent;
     }
-    return m_settings.returnedFirst && entry.cameBack ? queue_rank::ScheduledRetry : queue_rank::Ordinary;
+    return m_settings.scheduledRetriesFirst && entry.cameBack ? queue_rank::ScheduledRetry : queue_rank::Ordinary;
 }
 
 runner_engine::queue_view runner_engine::queueOf(shard_state &shard, queue_rank rank)
--- a/libs/policy/src/runner_send.cpp
+++ b/libs/policy/src/runner_send.cpp
@@ -11,7 +11,7 @@
     std::size_t slots = 0;
     std::ranges::for_each(shard.leafs, [&](leaf_id leaf) { slots += m_leafs.slots(leaf); });
     const auto waiting = static_cast<double>(waitingCount(shard));
-    return waiting >= m_settings.extraFromWaiting * static_cast<double>(slots);
+    return waiting >= m_settings.extraMinWaitingPerSlot * static_cast<double>(slots);
 }
 
 std::optional<leaf_id> runner_engine::chooseLeaf(const shard_state &shard, const task &entry, bool onlyIdle, millis now)
@@ -69,7 +69,7 @@
     entry.calls.push_back(callId);
     m_leafs.onCallSent(leaf, now);
     if (!isHedge && entry.unhedgedSends == 0) {
-        ++m_counters.firstTries;
+        ++m_counters.firstSends;
         service.hedges.deposit();
         service.retries.deposit();
     }
@@ -126,9 +126,9 @@
         return true;
     }
     task &entry = owner->second;
-    const bool mustWait = m_settings.hedgeOnlyOntoIdle && !m_settings.hedgeBeforeQueue && !queuesEmpty(shard);
+    const bool mustWait = m_settings.hedgeOnlyOntoFreeSlots && !m_settings.hedgeBeforeQueue && !queuesEmpty(shard);
     const std::optional<leaf_id> leaf =
-        mustWait ? std::nullopt : chooseLeaf(shard, entry, m_settings.hedgeOnlyOntoIdle, now);
+        mustWait ? std::nullopt : chooseLeaf(shard, entry, m_settings.hedgeOnlyOntoFreeSlots, now);
     if (!leaf) {
         return false;
     }
--- a/libs/policy/tests/test_policy.cpp
+++ b/libs/policy/tests/test_policy.cpp
@@ -211,7 +211,7 @@
     shard.reply(running.front(), call_status::Ok);
     BOOST_TEST(shard.takeActions<leaf_call>().size() == 1);
     BOOST_TEST(shard.engine.counters().hedges == 1);
-    BOOST_TEST(shard.engine.counters().firstTries == 4);
+    BOOST_TEST(shard.engine.counters().firstSends == 4);
 }
 
 // Guards against refusing callers repeatedly although they retry after the given Retry-After time: without precedence,
--- a/libs/quarantine/include/quarantine/quarantine.h
+++ b/libs/quarantine/include/quarantine/quarantine.h
@@ -64,7 +64,7 @@
 inline constexpr leaf_digest noLeaf = 0;
 
 /** A leaf that crashed while it ran an attempt, or an attempt that timed out (@ref noLeaf). */
-struct leaf_end {
+struct leaf_crash {
     attempt_tag attempt = 0;
     leaf_digest leaf = noLeaf;
     millis at; ///< on the clock of the VM that holds this record
@@ -78,16 +78,16 @@
 struct request_evidence {
     request_fingerprint key;
     route_digest route = 0;
-    std::vector<leaf_end> ends; ///< crashes since the last answer, one for each attempt and leaf
+    std::vector<leaf_crash> ends; ///< crashes since the last answer, one for each attempt and leaf
     millis answeredAt = millis() - millis::never(); ///< when a leaf last completed the request
     bool vouched = false; ///< leafs had completed the request before the first of these crashes
 };
 
 /** @return how many leafs crashed under the request since its last answer, of the crashes that are kept. */
-[[nodiscard]] std::size_t endedLeafs(const request_evidence &about);
+[[nodiscard]] std::size_t crashedLeafs(const request_evidence &about);
 
 /** @return attempts since the last answer that crashed a leaf or timed out, of those that are kept. */
-[[nodiscard]] std::size_t triesInVain(const request_evidence &about);
+[[nodiscard]] std::size_t failedAttempts(const request_evidence &about);
 
 /** Outcomes of the canary requests of a suspect request. Each canary request is sent to a single leaf. */
 struct canary_outcomes {
@@ -100,13 +100,13 @@
 [[nodiscard]] canary_outcomes canaryOutcomesOf(const request_evidence &about);
 
 /** Quarantine state of a request: how it is treated. */
-enum class request_standing : std::uint8_t {
+enum class quarantine_state : std::uint8_t {
     Clear,
     Suspect, ///< leafs crashed under it and none has answered since: sent to one leaf first
     Quarantined ///< refused
 };
 
-[[nodiscard]] std::string_view toString(request_standing standing);
+[[nodiscard]] std::string_view toString(quarantine_state standing);
 
 /** Thresholds and times for quarantining a request. */
 struct quarantine_settings {
@@ -172,39 +172,39 @@
         m_settings = settings;
     }
 
-    [[nodiscard]] request_standing standingOf(const request_fingerprint &key, millis now) const;
+    [[nodiscard]] quarantine_state quarantineStateOf(const request_fingerprint &key, millis now) const;
 
     /** @return the time for which the request is still refused; 0 if it is not quarantined. */
-    [[nodiscard]] millis heldFor(const request_fingerprint &key, millis now) const;
+    [[nodiscard]] millis quarantineRemaining(const request_fingerprint &key, millis now) const;
 
     /** Whether requests of the route require a canary, because a request of the route crashed leafs recently and
      * similar ones may follow. */
-    [[nodiscard]] bool isGuarded(route_digest route, millis now) const;
+    [[nodiscard]] bool requiresCanary(route_digest route, millis now) const;
 
     /** Records that these leafs crashed under an attempt that no leaf has answered. @p leafs holds @ref noLeaf if it
      *  timed out. @param alone whether the attempt was a canary request. */
-    void addEnds(const request_fingerprint &key,
-                 route_digest route,
-                 attempt_tag attempt,
-                 std::span<const leaf_digest> leafs,
-                 bool alone,
-                 millis now);
+    void recordCrashes(const request_fingerprint &key,
+                       route_digest route,
+                       attempt_tag attempt,
+                       std::span<const leaf_digest> leafs,
+                       bool alone,
+                       millis now);
 
     /** Records that a leaf completed the request. @return whether there was evidence against the request until now. */
-    bool addAnswer(const request_fingerprint &key, millis now);
+    bool recordAnswer(const request_fingerprint &key, millis now);
 
     /** Whether a leaf has completed the request within the retention time, of the answers that this VM still has. */
-    [[nodiscard]] bool wasAnswered(const request_fingerprint &key, millis now) const
+    [[nodiscard]] bool wasAnsweredRecently(const request_fingerprint &key, millis now) const
     {
         return m_answered.contains(key, m_settings.answerRetention, now);
     }
 
     /** Merges the evidence of another VM. @return the evidence that was new here, to be forwarded; what this VM adds to
-     *  it is returned by @ref takeNews. */
+     *  it is returned by @ref takeUpdates. */
     std::vector<request_evidence> join(std::span<const request_evidence> received, millis now);
 
     /** @return requests with new evidence from this VM itself since the last call. */
-    [[nodiscard]] std::vector<request_evidence> takeNews();
+    [[nodiscard]] std::vector<request_evidence> takeUpdates();
 
     /** @return all evidence, for a VM that has just joined. */
     [[nodiscard]] std::vector<request_evidence> all() const;
@@ -222,7 +222,7 @@
 
 private:
     bool joinOne(const request_evidence &received, millis now);
-    bool addCrash(request_evidence &to, const leaf_end &crash) const;
+    bool addCrash(request_evidence &to, const leaf_crash &crash) const;
     void updateCanaryRoutes(const request_evidence &about);
     void evictIfFull();
     [[nodiscard]] bool isQueryOfDeath(const request_evidence &about) const;
--- a/libs/quarantine/src/request_ledger.cpp
+++ b/libs/quarantine/src/request_ledger.cpp
@@ -24,7 +24,7 @@
 millis lastCrashTime(const request_evidence &about)
 {
     millis last = millis() - millis::never();
-    for (const leaf_end &one : about.ends) {
+    for (const leaf_crash &one : about.ends) {
         last = std::max(last, one.at);
     }
     return last;
@@ -32,21 +32,21 @@
 
 std::size_t crashesOfAttempt(const request_evidence &about, attempt_tag attempt)
 {
-    return static_cast<std::size_t>(std::ranges::count(about.ends, attempt, &leaf_end::attempt));
+    return static_cast<std::size_t>(std::ranges::count(about.ends, attempt, &leaf_crash::attempt));
 }
 
 void dropOldestAttempt(request_evidence &of)
 {
-    const attempt_tag oldest = std::ranges::min(of.ends, {}, &leaf_end::at).attempt;
-    std::erase_if(of.ends, [&](const leaf_end &one) { return one.attempt == oldest; });
+    const attempt_tag oldest = std::ranges::min(of.ends, {}, &leaf_crash::at).attempt;
+    std::erase_if(of.ends, [&](const leaf_crash &one) { return one.attempt == oldest; });
 }
 
 } // namespace
 
-std::size_t endedLeafs(const request_evidence &about)
+std::size_t crashedLeafs(const request_evidence &about)
 {
     std::set<leaf_digest> leafs;
-    for (const leaf_end &one : about.ends) {
+    for (const leaf_crash &one : about.ends) {
         if (one.leaf != noLeaf) {
             leafs.insert(one.leaf);
         }
@@ -54,10 +54,10 @@
     return leafs.size();
 }
 
-std::size_t triesInVain(const request_evidence &about)
+std::size_t failedAttempts(const request_evidence &about)
 {
     std::set<attempt_tag> attempts;
-    for (const leaf_end &one : about.ends) {
+    for (const leaf_crash &one : about.ends) {
         attempts.insert(one.attempt);
     }
     return attempts.size();
@@ -65,13 +65,13 @@
 
 canary_outcomes canaryOutcomesOf(const request_evidence &about)
 {
-    std::vector<leaf_end> canaries;
-    std::ranges::copy_if(about.ends, std::back_inserter(canaries), &leaf_end::alone);
-    std::ranges::sort(canaries, {}, &leaf_end::at);
+    std::vector<leaf_crash> canaries;
+    std::ranges::copy_if(about.ends, std::back_inserter(canaries), &leaf_crash::alone);
+    std::ranges::sort(canaries, {}, &leaf_crash::at);
     canary_outcomes outcomes;
     millis eventEnd = millis() - millis::never();
     bool leafCrashed = false;
-    for (const leaf_end &one : canaries) {
+    for (const leaf_crash &one : canaries) {
         if (one.at > eventEnd) {
             outcomes.failed += 1;
             eventEnd = one.at + eventDuration;
@@ -122,14 +122,14 @@
     return static_cast<route_digest>(XXH3_64bits(name.data(), name.size()));
 }
 
-std::string_view toString(request_standing standing)
+std::string_view toString(quarantine_state standing)
 {
     switch (standing) {
-    case request_standing::Clear:
+    case quarantine_state::Clear:
         return "clear";
-    case request_standing::Suspect:
+    case quarantine_state::Suspect:
         return "suspect";
-    case request_standing::Quarantined:
+    case quarantine_state::Quarantined:
         return "quarantined";
     }
     return "unknown";
@@ -154,7 +154,7 @@
  */
 bool request_ledger::isQueryOfDeath(const request_evidence &about) const
 {
-    if (endedLeafs(about) < m_settings.leafsForVerdict) {
+    if (crashedLeafs(about) < m_settings.leafsForVerdict) {
         return false;
     }
     const canary_outcomes canaries = canaryOutcomesOf(about);
@@ -175,11 +175,11 @@
     if (canaries.crashed != m_settings.canariesForVerdict || canaries.failed >= m_settings.failedCanariesForVerdict) {
         return false;
     }
-    const auto isShared = [&](const leaf_end &own) {
+    const auto isShared = [&](const leaf_crash &own) {
         return own.alone && std::ranges::any_of(m_known, [&](const auto &one) {
                    const request_evidence &other = one.second;
                    return other.key != about.key && !other.vouched
-                       && std::ranges::any_of(other.ends, [&](const leaf_end &end) {
+                       && std::ranges::any_of(other.ends, [&](const leaf_crash &end) {
                               return end.leaf == own.leaf && end.at <= own.at + eventDuration
                                   && own.at <= end.at + eventDuration;
                           });
@@ -196,7 +196,7 @@
         return lastCrashTime(about) + m_settings.ambiguousHold;
     }
     constexpr std::size_t attemptsForFirstVerdict = 2;
-    const std::size_t further = triesInVain(about) - std::min(triesInVain(about), attemptsForFirstVerdict);
+    const std::size_t further = failedAttempts(about) - std::min(failedAttempts(about), attemptsForFirstVerdict);
     const auto doublings = static_cast<int>(std::min<std::size_t>(further, m_settings.maxHoldDoublings));
     constexpr std::uint64_t steps = 1024;
     const std::uint64_t draw = XXH3_64bits_withSeed(&about.key, sizeof about.key, m_seed) % steps;
@@ -204,39 +204,39 @@
     return lastCrashTime(about) + m_settings.hold * std::ldexp(1 + m_settings.holdJitter * share, doublings);
 }
 
-request_standing request_ledger::standingOf(const request_fingerprint &key, millis now) const
+quarantine_state request_ledger::quarantineStateOf(const request_fingerprint &key, millis now) const
 {
     const request_evidence *known = m_known.empty() ? nullptr : find(key);
     if (known == nullptr || known->ends.empty()) {
-        return request_standing::Clear;
+        return quarantine_state::Clear;
     }
     const bool refused = isQueryOfDeath(*known) && now < releaseAt(*known);
-    return refused ? request_standing::Quarantined : request_standing::Suspect;
+    return refused ? quarantine_state::Quarantined : quarantine_state::Suspect;
 }
 
-millis request_ledger::heldFor(const request_fingerprint &key, millis now) const
+millis request_ledger::quarantineRemaining(const request_fingerprint &key, millis now) const
 {
-    return standingOf(key, now) == request_standing::Quarantined ? releaseAt(*find(key)) - now : millis();
+    return quarantineStateOf(key, now) == quarantine_state::Quarantined ? releaseAt(*find(key)) - now : millis();
 }
 
-bool request_ledger::isGuarded(route_digest route, millis now) const
+bool request_ledger::requiresCanary(route_digest route, millis now) const
 {
     const auto found = m_canariesUntil.find(route);
     return found != m_canariesUntil.end() && now < found->second;
 }
 
 /** @return whether the crash was new and counts. */
-bool request_ledger::addCrash(request_evidence &to, const leaf_end &crash) const
+bool request_ledger::addCrash(request_evidence &to, const leaf_crash &crash) const
 {
     const bool known = std::ranges::any_of(
-        to.ends, [&](const leaf_end &one) { return one.attempt == crash.attempt && one.leaf == crash.leaf; });
+        to.ends, [&](const leaf_crash &one) { return one.attempt == crash.attempt && one.leaf == crash.leaf; });
     const bool answeredSince = crash.at <= to.answeredAt + maxReportDelay;
     const bool enough = crashesOfAttempt(to, crash.attempt) >= maxCrashesPerAttempt;
     if (known || answeredSince || enough) {
         return false;
     }
     to.ends.push_back(crash);
-    if (triesInVain(to) > maxAttempts) {
+    if (failedAttempts(to) > maxAttempts) {
         dropOldestAttempt(to);
     }
     return true;
@@ -259,16 +259,16 @@
     const bool answered = received.answeredAt > here.answeredAt + maxReportDelay;
     if (answered) {
         here.answeredAt = received.answeredAt;
-        std::erase_if(here.ends, [&](const leaf_end &one) { return one.at <= received.answeredAt + maxReportDelay; });
+        std::erase_if(here.ends, [&](const leaf_crash &one) { return one.at <= received.answeredAt + maxReportDelay; });
     }
     const bool isFirst = here.ends.empty();
-    const auto added = std::ranges::count_if(received.ends, [&](const leaf_end &one) { return addCrash(here, one); });
+    const auto added = std::ranges::count_if(received.ends, [&](const leaf_crash &one) { return addCrash(here, one); });
     if (isFirst && added > 0) {
         here.vouched = false;
     }
     const bool receivedVouched = received.vouched && !here.vouched && !here.ends.empty();
     here.vouched = here.vouched || receivedVouched;
-    if (!here.vouched && added > 0 && wasAnswered(here.key, now)) {
+    if (!here.vouched && added > 0 && wasAnsweredRecently(here.key, now)) {
         here.vouched = true;
         m_updates.insert(here.key);
     }
@@ -278,10 +278,10 @@
 
 void request_ledger::updateCanaryRoutes(const request_evidence &about)
 {
-    for (const leaf_end &one : about.ends) {
+    for (const leaf_crash &one : about.ends) {
         // While the route requires a canary, few leafs are asked at a time, so one crash is as much evidence as several
         // before.
-        const bool continues = one.leaf != noLeaf && isGuarded(about.route, one.at);
+        const bool continues = one.leaf != noLeaf && requiresCanary(about.route, one.at);
         if (continues || crashesOfAttempt(about, one.attempt) >= m_settings.leafsForCanaries || isQueryOfDeath(about)) {
             millis &until = m_canariesUntil[about.route];
             until = std::max(until, one.at + m_settings.canaryFor);
@@ -289,25 +289,25 @@
     }
 }
 
-void request_ledger::addEnds(const request_fingerprint &key,
-                             route_digest route,
-                             attempt_tag attempt,
-                             std::span<const leaf_digest> leafs,
-                             bool alone,
-                             millis now)
+void request_ledger::recordCrashes(const request_fingerprint &key,
+                                   route_digest route,
+                                   attempt_tag attempt,
+                                   std::span<const leaf_digest> leafs,
+                                   bool alone,
+                                   millis now)
 {
     request_evidence observed;
     observed.key = key;
     observed.route = route;
     std::ranges::transform(leafs, std::back_inserter(observed.ends), [&](leaf_digest one) {
-        return leaf_end {attempt, one, now, alone};
+        return leaf_crash {attempt, one, now, alone};
     });
     if (joinOne(observed, now)) {
         m_updates.insert(key);
     }
 }
 
-bool request_ledger::addAnswer(const request_fingerprint &key, millis now)
+bool request_ledger::recordAnswer(const request_fingerprint &key, millis now)
 {
     m_answered.record(key, now);
     const auto known = m_known.empty() ? m_known.end() : m_known.find(key);
@@ -331,7 +331,7 @@
     return updates;
 }
 
-std::vector<request_evidence> request_ledger::takeNews()
+std::vector<request_evidence> request_ledger::takeUpdates()
 {
     std::vector<request_evidence> updates;
     for (const request_fingerprint &key : std::exchange(m_updates, {})) {
--- a/libs/quarantine/tests/test_request_ledger.cpp
+++ b/libs/quarantine/tests/test_request_ledger.cpp
@@ -27,8 +27,8 @@
 request_ledger quarantinedLedger()
 {
     request_ledger ledger({});
-    ledger.addEnds(suspectRequest, route, 1, leafs(10, 2), false, start);
-    ledger.addEnds(suspectRequest, route, 2, leafs(20, 1), true, start);
+    ledger.recordCrashes(suspectRequest, route, 1, leafs(10, 2), false, start);
+    ledger.recordCrashes(suspectRequest, route, 2, leafs(20, 1), true, start);
     return ledger;
 }
 
@@ -37,27 +37,27 @@
 {
     constexpr attempt_tag attempts = 6;
     for (attempt_tag attempt = 1; attempt <= attempts; ++attempt) {
-        ledger.addEnds(key, route, attempt, leafs(10, 3), false, at);
+        ledger.recordCrashes(key, route, attempt, leafs(10, 3), false, at);
     }
 }
 
-request_standing stateAfter(const request_ledger &ledger, millis after = millis())
+quarantine_state stateAfter(const request_ledger &ledger, millis after = millis())
 {
-    return ledger.standingOf(suspectRequest, start + after);
+    return ledger.quarantineStateOf(suspectRequest, start + after);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(a_request_without_evidence_is_clear)
 {
-    BOOST_CHECK(stateAfter(request_ledger({})) == request_standing::Clear);
+    BOOST_CHECK(stateAfter(request_ledger({})) == quarantine_state::Clear);
 }
 
 BOOST_AUTO_TEST_CASE(two_crashed_leafs_and_a_crashed_canary_quarantine_a_request)
 {
-    BOOST_CHECK(stateAfter(quarantinedLedger()) == request_standing::Quarantined);
-    BOOST_CHECK(quarantinedLedger().heldFor(suspectRequest, start) >= quarantine_settings().hold);
-    BOOST_CHECK(quarantinedLedger().standingOf(otherRequest, start) == request_standing::Clear);
+    BOOST_CHECK(stateAfter(quarantinedLedger()) == quarantine_state::Quarantined);
+    BOOST_CHECK(quarantinedLedger().quarantineRemaining(suspectRequest, start) >= quarantine_settings().hold);
+    BOOST_CHECK(quarantinedLedger().quarantineStateOf(otherRequest, start) == quarantine_state::Clear);
 }
 
 // Guards against a request that is refused for ten minutes because of unrelated crashes: a host fails with many leafs,
@@ -65,8 +65,8 @@
 BOOST_AUTO_TEST_CASE(one_attempt_does_not_quarantine_however_many_leafs_crashed)
 {
     request_ledger ledger({});
-    ledger.addEnds(suspectRequest, route, 1, leafs(10, 100), false, start);
-    BOOST_CHECK(stateAfter(ledger) == request_standing::Suspect);
+    ledger.recordCrashes(suspectRequest, route, 1, leafs(10, 100), false, start);
+    BOOST_CHECK(stateAfter(ledger) == quarantine_state::Suspect);
 }
 
 // Guards against a popular lookup that all VMs refuse for 693 s, and then for 1,387 s. Another request crashes leafs
@@ -76,40 +76,40 @@
 {
     request_ledger ledger({});
     crashUnderManyAttempts(ledger, suspectRequest, start);
-    BOOST_CHECK(stateAfter(ledger) == request_standing::Suspect);
+    BOOST_CHECK(stateAfter(ledger) == quarantine_state::Suspect);
     crashUnderManyAttempts(ledger, suspectRequest, start + millis(3000));
-    BOOST_CHECK(stateAfter(ledger, millis(3000)) == request_standing::Suspect);
+    BOOST_CHECK(stateAfter(ledger, millis(3000)) == quarantine_state::Suspect);
 }
 
 // An answer before the first crash is remembered, although the ledger then has no evidence about the request.
 BOOST_AUTO_TEST_CASE(a_request_that_was_answered_before_needs_three_crashed_canaries)
 {
     request_ledger ledger({});
-    BOOST_CHECK(!ledger.addAnswer(suspectRequest, start));
+    BOOST_CHECK(!ledger.recordAnswer(suspectRequest, start));
     BOOST_CHECK_EQUAL(ledger.size(), 0U);
     millis at = start + millis(5000);
     crashUnderManyAttempts(ledger, suspectRequest, at);
     for (attempt_tag canary = 20; canary < 22; ++canary) {
         at = at + millis(1000);
-        ledger.addEnds(suspectRequest, route, canary, leafs(canary, 1), true, at);
-        BOOST_CHECK(ledger.standingOf(suspectRequest, at) == request_standing::Suspect);
+        ledger.recordCrashes(suspectRequest, route, canary, leafs(canary, 1), true, at);
+        BOOST_CHECK(ledger.quarantineStateOf(suspectRequest, at) == quarantine_state::Suspect);
     }
     at = at + millis(1000);
-    ledger.addEnds(suspectRequest, route, 22, leafs(22, 1), true, at);
-    BOOST_CHECK(ledger.standingOf(suspectRequest, at) == request_standing::Quarantined);
+    ledger.recordCrashes(suspectRequest, route, 22, leafs(22, 1), true, at);
+    BOOST_CHECK(ledger.quarantineStateOf(suspectRequest, at) == quarantine_state::Quarantined);
 }
 
 // Each VM sends its own canary requests, and one unrelated event may crash the leafs of all of them.
 BOOST_AUTO_TEST_CASE(simultaneous_canaries_of_several_vms_are_one_event)
 {
     request_ledger ledger({});
-    std::ignore = ledger.addAnswer(suspectRequest, start);
+    std::ignore = ledger.recordAnswer(suspectRequest, start);
     const millis at = start + millis(5000);
     crashUnderManyAttempts(ledger, suspectRequest, at);
     for (attempt_tag canary = 20; canary < 28; ++canary) {
-        ledger.addEnds(suspectRequest, route, canary, leafs(canary, 1), true, at + millis(canary));
+        ledger.recordCrashes(suspectRequest, route, canary, leafs(canary, 1), true, at + millis(canary));
     }
-    BOOST_CHECK(ledger.standingOf(suspectRequest, at + millis(100)) == request_standing::Suspect);
+    BOOST_CHECK(ledger.quarantineStateOf(suspectRequest, at + millis(100)) == quarantine_state::Suspect);
 }
 
 // Guards against a new request that is refused for ten minutes because it shares a leaf with a query of death. Leafs
@@ -118,18 +118,18 @@
 {
     request_ledger ledger({});
     for (const request_fingerprint &key : {suspectRequest, otherRequest}) {
-        ledger.addEnds(key, route, 1, leafs(10, 2), false, start);
-        ledger.addEnds(key, route, key == suspectRequest ? 2 : 3, leafs(20, 1), true, start + millis(1000));
+        ledger.recordCrashes(key, route, 1, leafs(10, 2), false, start);
+        ledger.recordCrashes(key, route, key == suspectRequest ? 2 : 3, leafs(20, 1), true, start + millis(1000));
     }
     const millis at = start + millis(1000);
     constexpr millis maxAmbiguousHold(2000);
-    BOOST_CHECK(ledger.heldFor(suspectRequest, at) <= maxAmbiguousHold);
-    BOOST_CHECK(ledger.heldFor(otherRequest, at) <= maxAmbiguousHold);
+    BOOST_CHECK(ledger.quarantineRemaining(suspectRequest, at) <= maxAmbiguousHold);
+    BOOST_CHECK(ledger.quarantineRemaining(otherRequest, at) <= maxAmbiguousHold);
     const millis released = at + maxAmbiguousHold;
-    ledger.addEnds(suspectRequest, route, 4, leafs(30, 1), true, released);
-    BOOST_CHECK(ledger.heldFor(suspectRequest, released) >= quarantine_settings().hold);
-    std::ignore = ledger.addAnswer(otherRequest, released);
-    BOOST_CHECK(ledger.standingOf(otherRequest, released) == request_standing::Clear);
+    ledger.recordCrashes(suspectRequest, route, 4, leafs(30, 1), true, released);
+    BOOST_CHECK(ledger.quarantineRemaining(suspectRequest, released) >= quarantine_settings().hold);
+    std::ignore = ledger.recordAnswer(otherRequest, released);
+    BOOST_CHECK(ledger.quarantineStateOf(otherRequest, released) == quarantine_state::Clear);
 }
 
 // Many different requests must not evict a request that is answered repeatedly for as long as the table size allows.
@@ -160,11 +160,11 @@
 {
     request_ledger ledger({});
     const std::array<leaf_digest, 1> none {noLeaf};
-    ledger.addEnds(suspectRequest, route, 1, leafs(10, 3), false, start);
-    ledger.addEnds(suspectRequest, route, 2, none, true, start);
-    BOOST_CHECK(stateAfter(ledger) == request_standing::Suspect);
-    ledger.addEnds(suspectRequest, route, 3, none, true, start + millis(300));
-    BOOST_CHECK(stateAfter(ledger, millis(300)) == request_standing::Quarantined);
+    ledger.recordCrashes(suspectRequest, route, 1, leafs(10, 3), false, start);
+    ledger.recordCrashes(suspectRequest, route, 2, none, true, start);
+    BOOST_CHECK(stateAfter(ledger) == quarantine_state::Suspect);
+    ledger.recordCrashes(suspectRequest, route, 3, none, true, start + millis(300));
+    BOOST_CHECK(stateAfter(ledger, millis(300)) == quarantine_state::Quarantined);
 }
 
 BOOST_AUTO_TEST_CASE(timeouts_alone_do_not_quarantine)
@@ -172,28 +172,28 @@
     request_ledger ledger({});
     const std::array<leaf_digest, 1> none {noLeaf};
     for (attempt_tag attempt = 1; attempt < 8; ++attempt) {
-        ledger.addEnds(suspectRequest, route, attempt, none, true, start + millis(1000) * attempt);
+        ledger.recordCrashes(suspectRequest, route, attempt, none, true, start + millis(1000) * attempt);
     }
-    BOOST_CHECK(stateAfter(ledger) != request_standing::Quarantined);
+    BOOST_CHECK(stateAfter(ledger) != quarantine_state::Quarantined);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_clears_the_state_and_older_evidence_received_later_does_not_count)
 {
     request_ledger ledger = quarantinedLedger();
     const std::vector<request_evidence> late = ledger.all();
-    ledger.addAnswer(suspectRequest, start + millis(5));
-    BOOST_CHECK(stateAfter(ledger, millis(6)) == request_standing::Clear);
+    ledger.recordAnswer(suspectRequest, start + millis(5));
+    BOOST_CHECK(stateAfter(ledger, millis(6)) == quarantine_state::Clear);
     ledger.join(late, start + millis(50));
-    BOOST_CHECK(stateAfter(ledger, millis(50)) == request_standing::Clear);
+    BOOST_CHECK(stateAfter(ledger, millis(50)) == quarantine_state::Clear);
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_clears_the_state_on_other_vms_too)
 {
     request_ledger here = quarantinedLedger();
     request_ledger there = quarantinedLedger();
-    here.addAnswer(suspectRequest, start + millis(700));
-    BOOST_CHECK_EQUAL(there.join(here.takeNews(), start + millis(701)).size(), 1U);
-    BOOST_CHECK(stateAfter(there, millis(701)) == request_standing::Clear);
+    here.recordAnswer(suspectRequest, start + millis(700));
+    BOOST_CHECK_EQUAL(there.join(here.takeUpdates(), start + millis(701)).size(), 1U);
+    BOOST_CHECK(stateAfter(there, millis(701)) == quarantine_state::Clear);
 }
 
 // After a network partition, the evidence of both sides together must suffice, in whichever order it is merged.
@@ -201,13 +201,13 @@
 {
     std::array<request_ledger, 3> seen {request_ledger({}), request_ledger({}), request_ledger({})};
     for (std::uint32_t at = 0; at < seen.size(); ++at) {
-        seen[at].addEnds(suspectRequest, route, at, leafs(at * 10 + 1, 1), at == 2, start);
+        seen[at].recordCrashes(suspectRequest, route, at, leafs(at * 10 + 1, 1), at == 2, start);
     }
     std::array<std::size_t, 5> order {0, 1, 2, 0, 1};
     do {
         request_ledger joined({});
         std::ranges::for_each(order, [&](std::size_t at) { joined.join(seen[at].all(), start); });
-        BOOST_REQUIRE(stateAfter(joined) == request_standing::Quarantined);
+        BOOST_REQUIRE(stateAfter(joined) == quarantine_state::Quarantined);
         BOOST_REQUIRE_EQUAL(joined.find(suspectRequest)->ends.size(), 3U);
     } while (std::ranges::next_permutation(order).found);
 }
@@ -218,8 +218,8 @@
     request_ledger here = quarantinedLedger();
     request_ledger there({});
     BOOST_CHECK_EQUAL(there.join(here.all(), start).size(), 1U);
-    here.addAnswer(suspectRequest, start + millis(700));
-    std::vector<request_evidence> echo = here.takeNews();
+    here.recordAnswer(suspectRequest, start + millis(700));
+    std::vector<request_evidence> echo = here.takeUpdates();
     BOOST_CHECK_EQUAL(there.join(echo, start + millis(700)).size(), 1U);
     std::ranges::for_each(echo, [](request_evidence &one) { one.answeredAt = one.answeredAt + millis(40); });
     BOOST_CHECK(here.join(echo, start + millis(740)).empty());
@@ -229,12 +229,12 @@
 BOOST_AUTO_TEST_CASE(after_the_hold_a_request_is_suspect_and_the_next_hold_is_longer)
 {
     request_ledger ledger = quarantinedLedger();
-    const millis first = ledger.heldFor(suspectRequest, start);
+    const millis first = ledger.quarantineRemaining(suspectRequest, start);
     const millis released = start + first + millis(1);
-    BOOST_CHECK(ledger.standingOf(suspectRequest, released) == request_standing::Suspect);
-    ledger.addEnds(suspectRequest, route, 3, leafs(30, 1), true, released);
-    BOOST_CHECK(ledger.standingOf(suspectRequest, released) == request_standing::Quarantined);
-    BOOST_CHECK(ledger.heldFor(suspectRequest, released) >= first * 1.9);
+    BOOST_CHECK(ledger.quarantineStateOf(suspectRequest, released) == quarantine_state::Suspect);
+    ledger.recordCrashes(suspectRequest, route, 3, leafs(30, 1), true, released);
+    BOOST_CHECK(ledger.quarantineStateOf(suspectRequest, released) == quarantine_state::Quarantined);
+    BOOST_CHECK(ledger.quarantineRemaining(suspectRequest, released) >= first * 1.9);
 }
 
 BOOST_AUTO_TEST_CASE(vms_release_a_request_at_different_times)
@@ -244,7 +244,7 @@
     for (std::uint64_t seed = 0; seed < vms; ++seed) {
         request_ledger ledger({}, seed);
         ledger.join(quarantinedLedger().all(), start);
-        moments.insert(ledger.heldFor(suspectRequest, start).ceiled() / 1000);
+        moments.insert(ledger.quarantineRemaining(suspectRequest, start).ceiled() / 1000);
     }
     BOOST_CHECK_EQUAL(moments.size(), vms);
 }
@@ -252,15 +252,15 @@
 BOOST_AUTO_TEST_CASE(a_route_requires_canaries_after_its_requests_crashed_leafs)
 {
     request_ledger ledger({});
-    ledger.addEnds(suspectRequest, route, 1, leafs(10, 1), false, start);
-    BOOST_CHECK(!ledger.isGuarded(route, start)); // one leaf may crash for any reason
-    ledger.addEnds(otherRequest, route, 2, leafs(20, 2), false, start);
-    BOOST_CHECK(ledger.isGuarded(route, start));
-    BOOST_CHECK(!ledger.isGuarded(route + 1, start));
+    ledger.recordCrashes(suspectRequest, route, 1, leafs(10, 1), false, start);
+    BOOST_CHECK(!ledger.requiresCanary(route, start)); // one leaf may crash for any reason
+    ledger.recordCrashes(otherRequest, route, 2, leafs(20, 2), false, start);
+    BOOST_CHECK(ledger.requiresCanary(route, start));
+    BOOST_CHECK(!ledger.requiresCanary(route + 1, start));
     const millis end = start + quarantine_settings().canaryFor;
-    BOOST_CHECK(!ledger.isGuarded(route, end));
-    ledger.addEnds({1, 4}, route, 3, leafs(30, 1), false, end - millis(1));
-    BOOST_CHECK(ledger.isGuarded(route, end)); // a further crash extends it
+    BOOST_CHECK(!ledger.requiresCanary(route, end));
+    ledger.recordCrashes({1, 4}, route, 3, leafs(30, 1), false, end - millis(1));
+    BOOST_CHECK(ledger.requiresCanary(route, end)); // a further crash extends it
 }
 
 // Guards against unbounded memory or a lost verdict when a caller changes a byte of a query of death each time.
@@ -268,16 +268,16 @@
 {
     request_ledger ledger = quarantinedLedger();
     for (std::uint64_t at = 0; at < 2000; ++at) {
-        ledger.addEnds({2, at + 1}, route, 7, leafs(1, 3), false, start + millis(1));
+        ledger.recordCrashes({2, at + 1}, route, 7, leafs(1, 3), false, start + millis(1));
     }
     BOOST_CHECK_EQUAL(ledger.size(), quarantine_settings().capacity);
-    BOOST_CHECK(stateAfter(ledger, millis(1)) == request_standing::Quarantined);
+    BOOST_CHECK(stateAfter(ledger, millis(1)) == quarantine_state::Quarantined);
 }
 
 BOOST_AUTO_TEST_CASE(old_evidence_expires)
 {
     request_ledger ledger = quarantinedLedger();
-    ledger.expire(start + ledger.heldFor(suspectRequest, start) + millis(1));
+    ledger.expire(start + ledger.quarantineRemaining(suspectRequest, start) + millis(1));
     BOOST_CHECK_EQUAL(ledger.size(), 1U);
     ledger.expire(start + quarantine_settings().hold * 3);
     BOOST_CHECK_EQUAL(ledger.size(), 0U);
@@ -286,7 +286,7 @@
 BOOST_AUTO_TEST_CASE(work_without_a_request_key_leaves_no_evidence)
 {
     request_ledger ledger({});
-    ledger.addEnds({}, route, 1, leafs(10, 3), false, start);
-    ledger.addEnds({}, route, 2, leafs(20, 3), true, start);
+    ledger.recordCrashes({}, route, 1, leafs(10, 3), false, start);
+    ledger.recordCrashes({}, route, 2, leafs(20, 3), true, start);
     BOOST_CHECK_EQUAL(ledger.size(), 0U);
 }
--- a/libs/query/include/query/query.h
+++ b/libs/query/include/query/query.h
@@ -44,9 +44,9 @@
 struct root_settings {
     bool direct = false; ///< run every shard in this process (the baseline); otherwise only if a runner is unusable
     millis ackTimeout {25}; ///< a runner that does not answer a run or a probe within this time counts as stalled
-    millis avoidStalled {1000}; ///< how long a stalled or unreachable runner gets no new runs
+    millis stalledRunnerCooldown {1000}; ///< how long a stalled or unreachable runner gets no new runs
     std::uint32_t maxRestarts = 2; ///< restarts of one lookup on a newer snapshot
-    millis admissionMemory {0}; ///< how long a refusal also applies to new lookups of the same service and priority
+    millis refusalCacheTtl {0}; ///< how long a refusal also applies to new lookups of the same service and priority
     std::size_t maxLookups = 20000; ///< lookups in flight; further ones are refused immediately
 };
 
@@ -64,10 +64,10 @@
 
 /** Action: fetch the topology from the platform now. The leafs of a shard no longer hold the pinned snapshot and may
  *  already hold a newer one. */
-struct topology_wanted {
+struct topology_refresh {
 };
 
-using root_action = std::variant<peer_send, caller_answer, topology_wanted>;
+using root_action = std::variant<peer_send, caller_answer, topology_refresh>;
 
 /** Monotonic counters for metrics. */
 struct root_counters {
@@ -76,14 +76,14 @@
     std::uint64_t mismatchedReplies = 0; ///< dropped: of another snapshot or map version
     std::uint64_t restarts = 0; ///< lookups restarted on a newer snapshot
     std::uint64_t reroutes = 0; ///< shards taken over from a runner that was unresponsive or could not use their leafs
-    std::uint64_t refusedHere = 0; ///< lookups refused by limits of this process before anything was sent
+    std::uint64_t refusedLocally = 0; ///< lookups refused by limits of this process before anything was sent
 };
 
 /** Checks that a test can switch off to show what each one prevents. Production code leaves all of them on. */
 struct root_guards {
     bool checkSnapshot = true;
     bool checkAttempt = true;
-    bool dropDoubled = true;
+    bool dropDuplicates = true;
 };
 
 /** Merges the rows of all shards by @p rule. @return at most @p maxRows rows. */
@@ -140,7 +140,7 @@
     void tick(const membership &members, millis now, actions &out);
 
     /** Gives every lookup in flight its final answer. Called when the time limit of a shutdown is reached. */
-    void stopAll(millis now, actions &out);
+    void finishAllLookups(millis now, actions &out);
 
     [[nodiscard]] std::size_t inFlight() const
     {
@@ -304,7 +304,7 @@
 struct ticket_settings {
     std::size_t capacity = 50000; ///< tickets stored; no ticket is issued beyond this number
     millis lifetime {600000};
-    bool onlyIssuer = true; ///< reject tickets of other issuers; false only in tests that show what this prevents
+    bool checkIssuer = true; ///< reject tickets of other issuers; false only in tests that show what this prevents
 };
 
 /** Result of presenting a ticket. */
@@ -318,11 +318,11 @@
 };
 
 /** The tickets issued by one incarnation of one process. A ticket starts at most one run, ever. */
-class ticket_book
+class ticket_table
 {
 public:
     /** @param key secret bytes that are kept only in the memory of this process. */
-    ticket_book(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings);
+    ticket_table(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings);
 
     /** @return a new ticket, or nothing if the table is full or @ref stop was called. */
     std::optional<std::string> issue(millis now);
@@ -343,7 +343,7 @@
     /** From now on, no ticket is issued and no unused ticket may start a run. */
     void stop();
 
-    void forgetExpired(millis now);
+    void eraseExpired(millis now);
 
     [[nodiscard]] std::size_t size() const
     {
--- a/libs/query/src/root_engine.cpp
+++ b/libs/query/src/root_engine.cpp
@@ -70,7 +70,7 @@
         return;
     }
     if (std::optional<lookup_answer> refused = checkLimits(request, *kind, members, now)) {
-        ++m_counters.refusedHere;
+        ++m_counters.refusedLocally;
         out.emplace_back(caller_answer {request.caller, *std::move(refused)});
         return;
     }
@@ -88,7 +88,7 @@
     }
     const sequence id = m_nextSequence++;
     m_timers.push({entry.deadline, timer_purpose::Hard, id});
-    if (!kind->wholeOnly && entry.softDeadline < entry.deadline) {
+    if (!kind->requiresCompleteAnswer && entry.softDeadline < entry.deadline) {
         m_timers.push({entry.softDeadline, timer_purpose::Soft, id});
     }
     m_timers.push({now + m_settings.ackTimeout, timer_purpose::Liveness, id});
@@ -138,7 +138,7 @@
 
 void root_engine::onUnreachable(vm_id runner, const membership & /*members*/, millis now, actions &out)
 {
-    m_stalledUntil[runner] = now + m_settings.avoidStalled;
+    m_stalledUntil[runner] = now + m_settings.stalledRunnerCooldown;
     std::vector<sequence> affected;
     for (const auto &[id, entry] : m_lookups) {
         if (std::ranges::find(entry.runners, runner, &runner_progress::vm) != entry.runners.end()) {
@@ -186,7 +186,7 @@
     }
 }
 
-void root_engine::stopAll(millis now, actions &out)
+void root_engine::finishAllLookups(millis now, actions &out)
 {
     std::vector<sequence> ids;
     std::ranges::transform(m_lookups, std::back_inserter(ids), [](const auto &item) { return item.first; });
@@ -321,7 +321,7 @@
     if (shard == entry.shards.end() || shard->id != reply.shard) {
         return nullptr;
     }
-    return shard->phase == shard_phase::Waiting || !m_guards.dropDoubled ? &*shard : nullptr;
+    return shard->phase == shard_phase::Waiting || !m_guards.dropDuplicates ? &*shard : nullptr;
 }
 
 void root_engine::onShardOk(sequence id, shard_progress &shard, const shard_reply &reply, millis now, actions &out)
@@ -366,7 +366,7 @@
 void root_engine::cacheRefusal(const lookup &entry, const shard_reply &reply, millis now)
 {
     cached_refusal &cached = m_cachedRefusals[entry.kind.service].at(static_cast<std::size_t>(entry.kind.priority));
-    cached.expires = std::max(cached.expires, now + std::min(m_settings.admissionMemory, reply.retryAfter));
+    cached.expires = std::max(cached.expires, now + std::min(m_settings.refusalCacheTtl, reply.retryAfter));
     cached.retryAt = std::max(cached.retryAt, now + reply.retryAfter);
 }
 
@@ -380,7 +380,7 @@
 void root_engine::restart(sequence id, snapshot_id heldSnapshot, const membership &members, millis now, actions &out)
 {
     lookup &entry = m_lookups.at(id);
-    out.emplace_back(topology_wanted {});
+    out.emplace_back(topology_refresh {});
     const bool attemptsLeft = entry.attempt <= m_settings.maxRestarts;
     const lookup previous = entry;
     if (!attemptsLeft || !repinSnapshot(entry, heldSnapshot)) {
@@ -460,7 +460,7 @@
         }
     }
     for (const vm_id vm : stalled) {
-        m_stalledUntil[vm] = now + m_settings.avoidStalled;
+        m_stalledUntil[vm] = now + m_settings.stalledRunnerCooldown;
         reroute(id, vm, now, out);
     }
     m_timers.push({now + m_settings.ackTimeout, timer_purpose::Liveness, id});
@@ -491,7 +491,8 @@
     }
     const std::size_t missing = entry.shards.size() - entry.covered - entry.waiting;
     const double bestCoverage = 1.0 - static_cast<double>(missing) / static_cast<double>(entry.shards.size());
-    const bool insufficient = missing > 0 && (entry.kind.wholeOnly || bestCoverage < entry.kind.minCoverage);
+    const bool insufficient =
+        missing > 0 && (entry.kind.requiresCompleteAnswer || bestCoverage < entry.kind.minCoverage);
     if (insufficient || entry.waiting == 0) {
         const bool allRefused = entry.refusedShards == entry.shards.size();
         const lookup_outcome failure = allRefused ? lookup_outcome::NotRun : lookup_outcome::Failed;
@@ -507,7 +508,7 @@
 bool root_engine::coverageSuffices(const lookup &entry)
 {
     const double coverage = static_cast<double>(entry.covered) / static_cast<double>(entry.shards.size());
-    return !entry.kind.wholeOnly && entry.covered > 0 && coverage >= entry.kind.minCoverage;
+    return !entry.kind.requiresCompleteAnswer && entry.covered > 0 && coverage >= entry.kind.minCoverage;
 }
 
 answer_reason root_engine::firstMissingReason(const lookup &entry)
