--- a/libs/query/src/tickets.cpp
+++ b/libs/query/src/tickets.cpp
@@ -79,7 +79,7 @@
     return isNumeric ? std::optional(parts) : std::nullopt;
 }
 
-ticket_book::ticket_book(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings)
+ticket_table::ticket_table(vm_id self, std::uint64_t incarnation, std::string key, ticket_settings settings)
     : m_self(self)
     , m_incarnation(incarnation)
     , m_key(std::move(key))
@@ -88,9 +88,9 @@
     require(!m_key.empty(), "the secret key of the ticket table must not be empty");
 }
 
-std::optional<std::string> ticket_book::issue(millis now)
+std::optional<std::string> ticket_table::issue(millis now)
 {
-    forgetExpired(now);
+    eraseExpired(now);
     if (m_stopped || m_records.size() >= m_settings.capacity) {
         return std::nullopt;
     }
@@ -102,12 +102,12 @@
     return text + separator + sign(text);
 }
 
-ticket_verdict ticket_book::use(std::string_view ticket, std::uint64_t digest, millis now)
+ticket_verdict ticket_table::use(std::string_view ticket, std::uint64_t digest, millis now)
 {
     const std::optional<ticket_parts> parts = parseTicket(ticket);
     const std::optional<split_ticket> ticketAndSignature = splitTicket(ticket);
     const bool issuedHere = parts && parts->issuer == m_self && parts->incarnation == m_incarnation;
-    if (!m_settings.onlyIssuer && parts && !issuedHere) {
+    if (!m_settings.checkIssuer && parts && !issuedHere) {
         const auto [foreign, isNew] = m_records.try_emplace(parts->number);
         foreign->second.expires = now + m_settings.lifetime;
         foreign->second.state = record_state::Running;
@@ -144,7 +144,7 @@
     }
 }
 
-void ticket_book::finish(std::uint64_t number, lookup_answer answer)
+void ticket_table::finish(std::uint64_t number, lookup_answer answer)
 {
     const auto found = m_records.find(number);
     if (found != m_records.end() && found->second.state == record_state::Running) {
@@ -153,7 +153,7 @@
     }
 }
 
-void ticket_book::makeVoid(std::uint64_t number, lookup_answer answer)
+void ticket_table::makeVoid(std::uint64_t number, lookup_answer answer)
 {
     const auto found = m_records.find(number);
     if (found != m_records.end() && found->second.state != record_state::Done) {
@@ -162,18 +162,18 @@
     }
 }
 
-const lookup_answer *ticket_book::answerOf(std::uint64_t number) const
+const lookup_answer *ticket_table::answerOf(std::uint64_t number) const
 {
     const auto found = m_records.find(number);
     return found != m_records.end() ? &found->second.answer : nullptr;
 }
 
-void ticket_book::stop()
+void ticket_table::stop()
 {
     m_stopped = true;
 }
 
-void ticket_book::forgetExpired(millis now)
+void ticket_table::eraseExpired(millis now)
 {
     // Ticket numbers increase with the time of issue and all tickets have the same lifetime, so expired tickets come
     // first. A running ticket is kept, because its late result must still find the record.
@@ -183,7 +183,7 @@
     }
 }
 
-std::string ticket_book::sign(std::string_view text) const
+std::string ticket_table::sign(std::string_view text) const
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> bytes {};
     unsigned int length = 0;
--- a/libs/query/tests/test_query.cpp
+++ b/libs/query/tests/test_query.cpp
@@ -17,7 +17,7 @@
         : members({1}, 1, {}, 1)
         , engine({1}, 1, settings, 1)
     {
-        members.onList(*readVmList(fakes::vmListText(1, 2)));
+        members.onVmList(*readVmList(fakes::vmListText(1, 2)));
         publishTopology(1, 1);
         engine.onCatalogue(std::make_shared<catalogue_document>(*readCatalogue(fakes::catalogueText(1))));
     }
@@ -98,7 +98,7 @@
     root_engine::actions out;
 };
 
-ticket_book makeTickets(std::uint32_t vm = 1, std::uint64_t incarnation = 5, ticket_settings settings = {})
+ticket_table makeTickets(std::uint32_t vm = 1, std::uint64_t incarnation = 5, ticket_settings settings = {})
 {
     return {{vm}, incarnation, "secret", settings};
 }
@@ -149,7 +149,7 @@
 BOOST_AUTO_TEST_CASE(cached_refusal_rejects_the_next_lookup_before_anything_is_sent)
 {
     root_settings settings;
-    settings.admissionMemory = millis(15);
+    settings.refusalCacheTtl = millis(15);
     root_fixture root(settings);
     root.submit("whole");
     const auto runs = root.sentRuns();
@@ -272,7 +272,7 @@
 
 BOOST_AUTO_TEST_CASE(ticket_starts_one_run)
 {
-    ticket_book tickets = makeTickets();
+    ticket_table tickets = makeTickets();
     const std::string ticket = *tickets.issue(millis(1000));
     BOOST_TEST((tickets.use(ticket, 1, millis(1001)) == ticket_verdict::Start));
     BOOST_TEST((tickets.use(ticket, 1, millis(1002)) == ticket_verdict::Running));
@@ -288,10 +288,10 @@
 // the caller retries with the same ticket, and the new incarnation must not treat the ticket as its own.
 BOOST_AUTO_TEST_CASE(foreign_and_forged_tickets_start_no_run)
 {
-    ticket_book first = makeTickets(1, 5);
+    ticket_table first = makeTickets(1, 5);
     const std::string ticket = *first.issue(millis(1000));
-    ticket_book restarted = makeTickets(1, 6);
-    ticket_book other = makeTickets(2, 5);
+    ticket_table restarted = makeTickets(1, 6);
+    ticket_table other = makeTickets(2, 5);
     BOOST_TEST((restarted.use(ticket, 1, millis(1001)) == ticket_verdict::Unknown));
     BOOST_TEST((other.use(ticket, 1, millis(1001)) == ticket_verdict::Unknown));
     std::string forged = ticket;
@@ -305,7 +305,7 @@
 {
     ticket_settings settings;
     settings.lifetime = millis(100);
-    ticket_book tickets = makeTickets(1, 5, settings);
+    ticket_table tickets = makeTickets(1, 5, settings);
     const std::string ticket = *tickets.issue(millis(1000));
     BOOST_TEST((tickets.use(ticket, 1, millis(1100)) == ticket_verdict::Unknown));
     const std::string second = *tickets.issue(millis(1000));
@@ -318,7 +318,7 @@
 {
     ticket_settings settings;
     settings.capacity = 2;
-    ticket_book tickets = makeTickets(1, 5, settings);
+    ticket_table tickets = makeTickets(1, 5, settings);
     const std::string unused = *tickets.issue(millis(1000));
     BOOST_TEST(tickets.issue(millis(1000)).has_value());
     BOOST_TEST(!tickets.issue(millis(1000)).has_value());
--- a/libs/routing/include/routing/routing.h
+++ b/libs/routing/include/routing/routing.h
@@ -17,7 +17,7 @@
 namespace chivelock {
 
 /** One of the services among which a route distributes its requests. */
-struct service_share {
+struct weighted_service {
     service_name service;
     double weight = 1; ///< relative to the other services of the route
 };
@@ -32,7 +32,7 @@
     millis objective; ///< target latency: an answer within this time has its full value
     unsigned rank = 0; ///< priority; 0 is the most urgent
     unsigned maxAttempts = 1; ///< most leafs that may run one request; applies to each shard separately
-    std::vector<service_share> split; ///< of a route to a single leaf; empty if the route has shards
+    std::vector<weighted_service> split; ///< of a route to a single leaf; empty if the route has shards
     std::vector<service_name> shards; ///< of a scatter-gather route, which asks each of them; else empty
     std::size_t topRecords = 0; ///< most records in a merged answer
     double minCoverage = 1; ///< smallest fraction of the shards that a merged answer must contain
@@ -45,10 +45,11 @@
 };
 
 /** Limits that hold for each leaf of a service. */
-struct service_description {
+struct service_limits {
     service_name name;
     unsigned maxConnections = 1; ///< connections that one leaf accepts from all VMs together
-    double coldPerSecond = 0; ///< requests per second that one leaf with a cold cache gets from all VMs; 0: no limit
+    double maxColdRequestsPerSecond =
+        0; ///< requests per second that one leaf with a cold cache gets from all VMs; 0: no limit
 };
 
 /** Limits on the size of a caller's request and on the time that the caller may take to send it. */
@@ -63,7 +64,7 @@
 struct gateway_config {
     std::uint64_t version = 0;
     std::vector<gateway_route> routes;
-    std::vector<service_description> services;
+    std::vector<service_limits> services;
     caller_limits limits;
 };
 
@@ -82,11 +83,12 @@
         return m_config;
     }
 
-    /** @return as @ref service_description::maxConnections; 1 for a service that the configuration does not name. */
+    /** @return as @ref service_limits::maxConnections; 1 for a service that the configuration does not name. */
     [[nodiscard]] unsigned maxConnections(const service_name &service) const;
 
-    /** @return as @ref service_description::coldPerSecond; 0 for a service that the configuration does not name. */
-    [[nodiscard]] double coldPerSecond(const service_name &service) const;
+    /** @return as @ref service_limits::maxColdRequestsPerSecond; 0 for a service that the configuration does not name.
+     */
+    [[nodiscard]] double maxColdRequestsPerSecond(const service_name &service) const;
 
 private:
     gateway_config m_config;
--- a/libs/routing/src/route_table.cpp
+++ b/libs/routing/src/route_table.cpp
@@ -22,10 +22,10 @@
     for (const gateway_route &route : m_config.routes) {
         m_routesByHost[route.host].emplace(route.pathPrefix, &route);
     }
-    for (const service_description &service : m_config.services) {
+    for (const service_limits &service : m_config.services) {
         m_maxConnections.emplace(service.name, service.maxConnections);
-        if (service.coldPerSecond > 0) {
-            m_maxColdRequestsPerSecond.emplace(service.name, service.coldPerSecond);
+        if (service.maxColdRequestsPerSecond > 0) {
+            m_maxColdRequestsPerSecond.emplace(service.name, service.maxColdRequestsPerSecond);
         }
     }
 }
@@ -52,7 +52,7 @@
     return nullptr;
 }
 
-double route_table::coldPerSecond(const service_name &service) const
+double route_table::maxColdRequestsPerSecond(const service_name &service) const
 {
     const auto found = m_maxColdRequestsPerSecond.find(service);
     return found == m_maxColdRequestsPerSecond.end() ? 0 : found->second;
--- a/libs/settings/include/settings/settings.h
+++ b/libs/settings/include/settings/settings.h
@@ -30,7 +30,7 @@
 /** How the documents of the platform are read. */
 struct platform_settings {
     std::string url; ///< such as http://10.0.0.2:8500
-    millis watchFor {10000}; ///< how long the platform holds a watch request open
+    millis watchTimeout {10000}; ///< how long the platform holds a watch request open
     millis retryAfter {500}; ///< delay before the next attempt after a failed read, with jitter
 };
 
@@ -69,7 +69,8 @@
     std::vector<std::string> seeds; ///< addresses of a few other processes of the fleet; may be stale
     std::string storeAddress; ///< IP address and port
     millis applyLimit {3000}; ///< limit from the store's notification until a configuration is in force on all VMs
-    millis storeWait {900}; ///< how long the store holds a watch open; limits how long a lost answer goes unnoticed
+    millis storeWatchTimeout {
+        900}; ///< how long the store holds a watch open; limits how long a lost answer goes unnoticed
     millis grace {6000}; ///< from SIGTERM to SIGKILL
     std::size_t maxConnections = 1000; ///< concurrent connections from callers
     std::uint32_t logLinesPerSecond = 500;
--- a/libs/settings/src/gateway_settings.cpp
+++ b/libs/settings/src/gateway_settings.cpp
@@ -70,7 +70,7 @@
  * answered. Another reader must then read the store and update all VMs, still within the time limit for a configuration
  * to be in force. About a third of that limit is for the detection.
  */
-millis defaultStoreWait(millis applyLimit)
+millis defaultStoreWatchTimeout(millis applyLimit)
 {
     constexpr double detectionShare = 0.3;
     return applyLimit * detectionShare;
@@ -96,9 +96,9 @@
         }
         const json &limits = document.at("limits");
         readIfPresent(limits, "apply_ms", settings.applyLimit);
-        settings.storeWait = defaultStoreWait(settings.applyLimit);
+        settings.storeWatchTimeout = defaultStoreWatchTimeout(settings.applyLimit);
         readIfPresent(document.at("store"), "address", settings.storeAddress);
-        readIfPresent(document.at("store"), "wait_ms", settings.storeWait);
+        readIfPresent(document.at("store"), "wait_ms", settings.storeWatchTimeout);
         settings.log = logLevelFromName(document.value("log", "info"));
         readIfPresent(document, "log_lines_per_s", settings.logLinesPerSecond);
         readIfPresent(limits, "retry_ratio", settings.retryRatio);
--- a/libs/settings/src/settings.cpp
+++ b/libs/settings/src/settings.cpp
@@ -92,7 +92,7 @@
     const json routing = objectOrEmpty(document, "routing");
     entry.root.direct = routing.value("mode", "runner") == "direct";
     readIfPresent(routing, "ack_timeout_ms", entry.root.ackTimeout);
-    readIfPresent(routing, "avoid_stalled_ms", entry.root.avoidStalled);
+    readIfPresent(routing, "avoid_stalled_ms", entry.root.stalledRunnerCooldown);
     readIfPresent(routing, "max_lookups", entry.root.maxLookups);
     const json leafs = objectOrEmpty(document, "leafs");
     readIfPresent(leafs, "extra_in_flight", entry.runner.extraInFlight);
@@ -101,9 +101,9 @@
     readIfPresent(leafs, "hedge_budget", entry.runner.hedgeBudget);
     readIfPresent(leafs, "max_hedges", entry.runner.maxHedges);
     readIfPresent(leafs, "retry_budget", entry.runner.retryBudget);
-    readIfPresent(leafs, "queue_share", entry.runner.queueShare);
+    readIfPresent(leafs, "queue_share", entry.runner.maxQueueWaitShare);
     readIfPresent(leafs, "ordinary_floor", entry.runner.ordinaryFloor);
-    readIfPresent(leafs, "fresh_bound_ms", entry.runner.freshBound);
+    readIfPresent(leafs, "fresh_bound_ms", entry.runner.maxHealthAge);
     readIfPresent(leafs, "probe_ms", entry.runner.probeInterval);
     const json tickets = objectOrEmpty(document, "tickets");
     readIfPresent(tickets, "capacity", entry.tickets.capacity);
@@ -133,7 +133,7 @@
             readListenSettings(document.at("listen"), settings.listen);
             const json &platform = document.at("platform");
             readIfPresent(platform, "url", settings.platform.url);
-            readIfPresent(platform, "watch_ms", settings.platform.watchFor);
+            readIfPresent(platform, "watch_ms", settings.platform.watchTimeout);
             readIfPresent(platform, "retry_ms", settings.platform.retryAfter);
             readIfPresent(document, "extra_peer_addresses", settings.extraPeerAddresses);
             settings.log = logLevelFromName(document.value("log", "info"));
--- a/libs/zones/include/zones/zones.h
+++ b/libs/zones/include/zones/zones.h
@@ -15,11 +15,11 @@
 namespace chivelock {
 
 /** Drained zones, as known to one VM. */
-class emptied_zones
+class drained_zones
 {
 public:
     /** @param rampUp time after which the leafs of an undrained zone get their full share of requests again. */
-    explicit emptied_zones(millis rampUp = millis(4000))
+    explicit drained_zones(millis rampUp = millis(4000))
         : m_rampUp(rampUp)
     {
     }
@@ -28,9 +28,9 @@
     bool empty(const zone_name &zone);
 
     /** Undrains the zone. @return false if it was not drained. */
-    bool giveBack(const zone_name &zone, millis now);
+    bool undrain(const zone_name &zone, millis now);
 
-    [[nodiscard]] bool isEmptied(const zone_name &zone) const
+    [[nodiscard]] bool isDrained(const zone_name &zone) const
     {
         return !m_drained.empty() && m_drained.contains(zone);
     }
@@ -41,7 +41,7 @@
      * each leaf would take longer than any caller waits.
      * @return from 0 (drained) to 1.
      */
-    [[nodiscard]] double shareOf(const zone_name &zone, millis now) const;
+    [[nodiscard]] double trafficShare(const zone_name &zone, millis now) const;
 
     [[nodiscard]] std::size_t size() const
     {
--- a/libs/zones/src/drained_zones.cpp
+++ b/libs/zones/src/drained_zones.cpp
@@ -4,13 +4,13 @@
 
 namespace chivelock {
 
-bool emptied_zones::empty(const zone_name &zone)
+bool drained_zones::empty(const zone_name &zone)
 {
     m_undrainedAt.erase(zone);
     return m_drained.insert(zone).second;
 }
 
-bool emptied_zones::giveBack(const zone_name &zone, millis now)
+bool drained_zones::undrain(const zone_name &zone, millis now)
 {
     if (m_drained.erase(zone) == 0) {
         return false;
@@ -20,14 +20,14 @@
     return true;
 }
 
-void emptied_zones::removeFinishedRampUps(millis now)
+void drained_zones::removeFinishedRampUps(millis now)
 {
     std::erase_if(m_undrainedAt, [&](const auto &entry) { return entry.second + m_rampUp <= now; });
 }
 
-double emptied_zones::shareOf(const zone_name &zone, millis now) const
+double drained_zones::trafficShare(const zone_name &zone, millis now) const
 {
-    if (isEmptied(zone)) {
+    if (isDrained(zone)) {
         return 0;
     }
     const auto undrained = m_undrainedAt.find(zone);
--- a/programs/chivelockd/decision_service.cpp
+++ b/programs/chivelockd/decision_service.cpp
@@ -144,12 +144,12 @@
         }
     }
 
-    void operator()(const topology_wanted & /*action*/) const
+    void operator()(const topology_refresh & /*action*/) const
     {
         service.m_platform->retryNow();
     }
 
-    void operator()(const publication_noted &action) const
+    void operator()(const publication_verdict &action) const
     {
         const bool accepted = action.verdict == "accepted";
         logEvent(accepted ? log_level::Info : log_level::Error,
--- a/programs/chivelockd/gateway/gateway_delegation.cpp
+++ b/programs/chivelockd/gateway/gateway_delegation.cpp
@@ -72,7 +72,7 @@
         return;
     }
     m_counts.delegationsAccepted += 1;
-    const exchange_id id = m_engine.arriveDelegated(request.requestId, request.work, now);
+    const exchange_id id = m_engine.acceptDelegatedWork(request.requestId, request.work, now);
     pending_request &added = m_pendingRequests[id];
     added.delegator = delegation_key(from, request.id);
     added.requestId = std::move(request.requestId);
@@ -98,7 +98,7 @@
     if (cancel.callerLeft) {
         m_engine.onCallerLeft(exchange, m_clock.now());
     } else {
-        m_engine.onUnneeded(exchange, m_clock.now());
+        m_engine.onDelegationCancelled(exchange, m_clock.now());
     }
     flush();
 }
--- a/programs/chivelockd/gateway/gateway_metrics.cpp
+++ b/programs/chivelockd/gateway/gateway_metrics.cpp
@@ -38,7 +38,7 @@
         {"chivelock_gateway_retries_total", "Requests sent again after a failure.", number(m_counts.retries), {}},
         {"chivelock_gateway_second_sends_handed_total",
          "Of hedges and retries, those that other VMs sent.",
-         number(m_counts.handedSeconds),
+         number(m_counts.delegatedSecondSends),
          {}},
         {"chivelock_gateway_quarantined_total",
          "Of the refused, requests under which leafs end.",
--- a/programs/chivelockd/gateway/gateway_service.cpp
+++ b/programs/chivelockd/gateway/gateway_service.cpp
@@ -185,7 +185,7 @@
             std::visit([this](auto &one) { perform(std::move(one)); }, action);
         }
     }
-    if (const std::vector<request_evidence> evidence = m_engine.takeRequestNews(); !evidence.empty()) {
+    if (const std::vector<request_evidence> evidence = m_engine.takeRequestEvidence(); !evidence.empty()) {
         m_feed->publishRequestEvidence(evidence);
     }
     armDueTimer();
@@ -225,7 +225,7 @@
     m_callers->reply(session, platform::writeCallerAnswer(action, m_stopping), m_stopping);
     m_counts.hedges += action.hedges;
     m_counts.retries += action.retries;
-    m_counts.handedSeconds += action.handedSeconds;
+    m_counts.delegatedSecondSends += action.delegatedSecondSends;
     m_counts.refused += action.outcome == exchange_outcome::Refused ? 1 : 0;
     m_counts.quarantined += action.cause == "quarantined" ? 1 : 0;
     m_counts.failed += action.outcome == exchange_outcome::Failed ? 1 : 0;
@@ -242,17 +242,17 @@
               {"status", std::uint64_t {action.reply.status}},
               {"shards", std::uint64_t {action.shards}},
               {"missing", std::uint64_t {action.missing}},
-              {"emptied_zone", action.emptiedZone.value},
+              {"emptied_zone", action.drainedZone.value},
               {"sends", std::uint64_t {action.sends}},
               {"hedges", std::uint64_t {action.hedges}},
               {"retries", std::uint64_t {action.retries}},
-              {"second_handed", std::uint64_t {action.handedSeconds}},
+              {"second_handed", std::uint64_t {action.delegatedSecondSends}},
               {"elapsed_ms", action.elapsed.ceiled()},
               {"ways_us", action.ways.micros()},
               {"retry_after_ms", action.retryAfter.ceiled()}});
 }
 
-void gateway_service::perform(const note_action &action)
+void gateway_service::perform(const log_event_action &action)
 {
     logEvent(log_level::Info,
              action.event,
@@ -265,7 +265,7 @@
               {"input_ms", action.input.ceiled()}});
 }
 
-void gateway_service::perform(const asked_action &action)
+void gateway_service::perform(const asked_leafs_action &action)
 {
     std::string leafs;
     for (const asked_leaf &one : action.leafs) {
@@ -281,7 +281,7 @@
 }
 
 /** Logs the request line only here; the log lines of the attempts contain just the key. */
-void gateway_service::perform(const verdict_action &action)
+void gateway_service::perform(const quarantine_update_action &action)
 {
     constexpr std::size_t maxRequestTextBytes = 200; // enough for a path, without letting callers fill the log
     const auto found = m_pendingRequests.find(action.exchange);
@@ -297,7 +297,7 @@
          {"outcome", std::string(toString(action.standing))},
          {"leafs", std::uint64_t {action.leafs}},
          {"attempts", std::uint64_t {action.attempts}},
-         {"held_ms", action.heldFor.ceiled()},
+         {"held_ms", action.quarantineRemaining.ceiled()},
          {"told_by", std::string("self")},
          {"caller", found != m_pendingRequests.end() ? m_callers->addressOf(found->second.session) : std::string()},
          {"request", text}});
@@ -348,7 +348,7 @@
     const millis gap = now - m_nextHousekeeping;
     m_counts.processPauses += 1;
     logEvent(log_level::Warning, "stood_still", {{"gap_ms", gap.ceiled()}, {"outcome", std::string("ask_anew")}});
-    m_engine.onStandstill(gap);
+    m_engine.onProcessPause(gap);
     if (gap > longProcessPause) {
         m_pool->closeIdle();
         m_feed->reconnect();
--- a/programs/chivelockd/gateway/gateway_service.h
+++ b/programs/chivelockd/gateway/gateway_service.h
@@ -65,7 +65,8 @@
     void onFleetMembers(const std::vector<fleet_member> &members) override;
     void onLeafReports(const std::vector<leaf_report> &reports) override;
     [[nodiscard]] std::vector<leaf_report> takeLeafReports() override;
-    [[nodiscard]] std::vector<request_evidence> onRequestNews(const std::vector<request_evidence> &evidence) override;
+    [[nodiscard]] std::vector<request_evidence>
+    onRequestEvidence(const std::vector<request_evidence> &evidence) override;
     [[nodiscard]] std::vector<request_evidence> allRequestEvidence() override;
     void onHelpersChanged(std::vector<helper_vm> helpers, std::size_t ownRank) override;
     void onHelperLost(const std::string &address) override;
@@ -79,9 +80,9 @@
     void perform(send_action action);
     void perform(const cancel_action &action);
     void perform(const answer_action &action);
-    void perform(const note_action &action);
-    void perform(const asked_action &action);
-    void perform(const verdict_action &action);
+    void perform(const log_event_action &action);
+    void perform(const asked_leafs_action &action);
+    void perform(const quarantine_update_action &action);
     void perform(delegate_action action);
     void perform(const delegate_cancel_action &action);
     void perform(progress_action action);
@@ -129,7 +130,7 @@
         std::uint64_t requests = 0;
         std::uint64_t hedges = 0;
         std::uint64_t retries = 0;
-        std::uint64_t handedSeconds = 0;
+        std::uint64_t delegatedSecondSends = 0;
         std::uint64_t refused = 0;
         std::uint64_t quarantined = 0;
         std::uint64_t failed = 0;
--- a/programs/chivelockd/gateway/gateway_store.cpp
+++ b/programs/chivelockd/gateway/gateway_store.cpp
@@ -51,7 +51,7 @@
 /** A zone is drained while its key exists; the value of the key is ignored. */
 void gateway_service::applyZoneDrain(const zone_name &zone, const store_item &item)
 {
-    const bool changed = m_engine.setZoneEmptied(zone, !item.deleted, m_clock.now());
+    const bool changed = m_engine.setZoneDrained(zone, !item.deleted, m_clock.now());
     if (!changed) {
         return;
     }
@@ -59,7 +59,7 @@
              item.deleted ? "zone_given_back" : "zone_emptied",
              {{"zone", zone.value},
               {"revision", item.revision},
-              {"leafs", std::uint64_t {m_engine.leafs().countIn(zone)}},
+              {"leafs", std::uint64_t {m_engine.leafs().countInZone(zone)}},
               {"outcome", std::string("in_force")}});
 }
 
@@ -109,18 +109,18 @@
               {"oldest_ms", (now - oldest.observedAt).ceiled()}});
 }
 
-std::vector<request_evidence> gateway_service::onRequestNews(const std::vector<request_evidence> &evidence)
+std::vector<request_evidence> gateway_service::onRequestEvidence(const std::vector<request_evidence> &evidence)
 {
     const millis now = m_clock.now();
-    std::vector<request_evidence> added = m_engine.onRequestNews(evidence, now);
+    std::vector<request_evidence> added = m_engine.onRequestEvidence(evidence, now);
     for (const request_evidence &one : added) {
         logEvent(log_level::Warning,
                  "request_verdict",
                  {{"key", toString(one.key)},
-                  {"outcome", std::string(toString(m_engine.requests().standingOf(one.key, now)))},
-                  {"leafs", std::uint64_t {endedLeafs(one)}},
-                  {"attempts", std::uint64_t {triesInVain(one)}},
-                  {"held_ms", m_engine.requests().heldFor(one.key, now).ceiled()},
+                  {"outcome", std::string(toString(m_engine.requests().quarantineStateOf(one.key, now)))},
+                  {"leafs", std::uint64_t {crashedLeafs(one)}},
+                  {"attempts", std::uint64_t {failedAttempts(one)}},
+                  {"held_ms", m_engine.requests().quarantineRemaining(one.key, now).ceiled()},
                   {"told_by", std::string("fleet")}});
     }
     flush(); // sends what this VM knows about one of these requests
@@ -136,8 +136,8 @@
 {
     m_engine.setFleetSize(state.size);
     m_engine.leafs().noteCurrent(state.currentAsOf);
-    if (state.storeInTrouble) {
-        m_engine.leafs().noteStoreTrouble(m_clock.now());
+    if (state.isStoreUnavailable) {
+        m_engine.leafs().recordStoreFailure(m_clock.now());
     }
 }
 
@@ -153,7 +153,7 @@
                      {{"leaf", id},
                       {"revision", item.revision},
                       {"told_by", m_feed->source()},
-                      {"as_of_ms", m_engine.leafs().ageOfNews(now).ceiled()}});
+                      {"as_of_ms", m_engine.leafs().maxUpdateAge(now).ceiled()}});
         }
         return known;
     }
@@ -181,7 +181,7 @@
                   {"revision", item.revision},
                   {"outcome", std::string(m_engine.leafs().find(id)->standing())},
                   {"told_by", m_feed->source()},
-                  {"as_of_ms", m_engine.leafs().ageOfNews(now).ceiled()}});
+                  {"as_of_ms", m_engine.leafs().maxUpdateAge(now).ceiled()}});
     }
     return changed;
 }
--- a/programs/chivelockd/gateway/leaf_pool.cpp
+++ b/programs/chivelockd/gateway/leaf_pool.cpp
@@ -211,7 +211,7 @@
         error_code error;
         m_socket.close(error);
         const auto endpoint = parseEndpoint(peer().entry.address);
-        if (!endpoint || boot_clock().now() - peer().takesConnectionsAt < acceptConfirmationLifetime) {
+        if (!endpoint || boot_clock().now() - peer().reconnectedAt < acceptConfirmationLifetime) {
             fail(send_failure::Broken);
             return;
         }
@@ -239,11 +239,11 @@
         }
         m_connectTimer.cancel();
         if (failed) {
-            fail(failed == asio::error::connection_refused ? send_failure::LeafEnded : send_failure::Broken);
+            fail(failed == asio::error::connection_refused ? send_failure::LeafCrashed : send_failure::Broken);
             return;
         }
         const send_id id = m_message.id;
-        m_message.to->takesConnectionsAt = boot_clock().now();
+        m_message.to->reconnectedAt = boot_clock().now();
         m_reader.expect(false, maxAnswerBodyBytes);
         m_idleLimit = defaultIdleLimit;
         m_confirming = false;
--- a/programs/chivelockd/gateway/peer_traffic.cpp
+++ b/programs/chivelockd/gateway/peer_traffic.cpp
@@ -26,7 +26,7 @@
         return message.members.size() > 1 ? peer_message_kind::FleetMembers : peer_message_kind::FleetState;
     }
 
-    peer_message_kind operator()(const follow_beat &message) const
+    peer_message_kind operator()(const follow_heartbeat &message) const
     {
         return message.changes.empty() ? peer_message_kind::FleetState : peer_message_kind::FleetMembers;
     }
@@ -42,17 +42,17 @@
         return message.whole ? peer_message_kind::FullDocuments : peer_message_kind::DocumentChanges;
     }
 
-    peer_message_kind operator()(const past_deletions &) const
+    peer_message_kind operator()(const recent_deletions &) const
     {
         return peer_message_kind::DocumentChanges;
     }
 
-    peer_message_kind operator()(const leaf_news &) const
+    peer_message_kind operator()(const leaf_reports_message &) const
     {
         return peer_message_kind::LeafReports;
     }
 
-    peer_message_kind operator()(const request_news &) const
+    peer_message_kind operator()(const request_evidence_message &) const
     {
         return peer_message_kind::RequestEvidence;
     }
--- a/programs/chivelockd/gateway/serve_gateway.cpp
+++ b/programs/chivelockd/gateway/serve_gateway.cpp
@@ -100,7 +100,7 @@
 tl::expected<gateway_daemon_settings, std::string> loadGatewaySettings(const std::string &path)
 {
     return readFile(path).and_then(
-        [](const std::string &text) { return readGatewaySettings(text).map_error(problemLines); });
+        [](const std::string &text) { return readGatewaySettings(text).map_error(formatProblems); });
 }
 
 int serveGateway(const gateway_daemon_settings &settings, const std::string &settingsPath, int signals)
--- a/programs/chivelockd/gateway/store_feed.cpp
+++ b/programs/chivelockd/gateway/store_feed.cpp
@@ -47,7 +47,7 @@
     settings.zone = from.zone;
     settings.seeds = from.seeds;
     settings.prefixes = {std::string(platform::configPrefix), std::string(platform::leafPrefix)};
-    settings.seedPatience = from.applyLimit * seedUpstreamGraceShare;
+    settings.seedStoreLostDelay = from.applyLimit * seedUpstreamGraceShare;
     settings.patience = from.applyLimit * upstreamGraceShare;
     settings.drawInterval = from.applyLimit * drawIntervalShare;
     return settings;
@@ -72,8 +72,9 @@
         readerSettings.address = settings.storeAddress;
         readerSettings.prefix = prefix;
         const bool isLeafPrefix = prefix == platform::leafPrefix;
-        readerSettings.watchWait =
-            isLeafPrefix ? std::min(settings.storeWait, settings.drainLimit * leafWatchShare) : settings.storeWait;
+        readerSettings.watchWait = isLeafPrefix
+            ? std::min(settings.storeWatchTimeout, settings.drainLimit * leafWatchShare)
+            : settings.storeWatchTimeout;
         m_readers.push_back(std::make_unique<store_reader>(reactor, readerSettings, *this));
     }
 }
@@ -90,7 +91,7 @@
 
 void store_feed::publishRequestEvidence(const std::vector<request_evidence> &evidence)
 {
-    m_node.tellRequests(evidence, 0, m_clock.now());
+    m_node.sendRequestEvidence(evidence, 0, m_clock.now());
     flush();
 }
 
@@ -159,10 +160,10 @@
     flush();
 }
 
-void store_feed::onStoreCurrent(std::string_view prefix, millis asOf)
+void store_feed::onStoreFreshness(std::string_view prefix, millis asOf)
 {
     if (prefix == platform::leafPrefix) {
-        m_node.onStoreCurrent(asOf, m_clock.now());
+        m_node.onStoreFreshness(asOf, m_clock.now());
         flush();
     }
 }
@@ -182,7 +183,7 @@
     m_node.report(m_listener.takeLeafReports());
     m_node.tick(now);
     flush();
-    m_listener.onFleetState({m_node.fleetSize(now), m_node.storeInTrouble(), m_node.currentAsOf()});
+    m_listener.onFleetState({m_node.fleetSize(now), m_node.isStoreUnavailable(), m_node.currentAsOf()});
     m_timer.expires_after(std::chrono::milliseconds(tickInterval.ceiled()));
     m_timer.async_wait([this](const boost::system::error_code &timerError) {
         if (!timerError) {
@@ -205,12 +206,12 @@
     m_mesh.dial(action.link, action.address);
 }
 
-void store_feed::perform(const hang_up_action &action)
+void store_feed::perform(const close_link_action &action)
 {
     m_mesh.closeLink(action.link);
 }
 
-void store_feed::perform(const tell_action &action)
+void store_feed::perform(const send_message_action &action)
 {
     const std::string frame = encodeFleetFrame(action.message);
     for (const link_id link : action.links) {
@@ -247,7 +248,7 @@
     }
 }
 
-void store_feed::perform(const news_action &action)
+void store_feed::perform(const store_changes_action &action)
 {
     m_listener.onStoreItems(action.prefix, action.items);
 }
@@ -265,15 +266,15 @@
 
 void store_feed::perform(const requests_action &action)
 {
-    m_node.tellRequests(m_listener.onRequestNews(action.requests), action.from, m_clock.now());
+    m_node.sendRequestEvidence(m_listener.onRequestEvidence(action.requests), action.from, m_clock.now());
 }
 
-void store_feed::perform(const greet_action &action)
+void store_feed::perform(const link_joined_action &action)
 {
-    m_node.greet(action.link, m_listener.allRequestEvidence(), m_clock.now());
+    m_node.sendAllRequestEvidence(action.link, m_listener.allRequestEvidence(), m_clock.now());
 }
 
-void store_feed::perform(const tree_note_action &action)
+void store_feed::perform(const tree_event_action &action)
 {
     logEvent(log_level::Info,
              action.event,
--- a/programs/chivelockd/gateway/store_feed.h
+++ b/programs/chivelockd/gateway/store_feed.h
@@ -23,7 +23,7 @@
 /** What this process knows about the fleet and the state of the store. */
 struct fleet_state {
     std::size_t size = 1; ///< number of processes
-    bool storeInTrouble = false; ///< see @ref fleet_node::storeInTrouble
+    bool isStoreUnavailable = false; ///< see @ref fleet_node::isStoreUnavailable
     millis currentAsOf; ///< see @ref fleet_node::currentAsOf
 };
 
@@ -50,7 +50,7 @@
 
     /** Evidence of other VMs about requests that crash leafs. @return the evidence that was not known here. */
     [[nodiscard]] virtual std::vector<request_evidence>
-    onRequestNews(const std::vector<request_evidence> &evidence) = 0;
+    onRequestEvidence(const std::vector<request_evidence> &evidence) = 0;
 
     /** @return all known evidence about requests that crash leafs, for a VM that joins. */
     [[nodiscard]] virtual std::vector<request_evidence> allRequestEvidence() = 0;
@@ -89,7 +89,7 @@
     bool onLinkFrame(link_id link, std::span<const std::uint8_t> payload) override;
     void onStoreContents(std::string_view prefix, std::vector<store_item> items, std::uint64_t revision) override;
     void onStoreChanges(std::string_view prefix, std::vector<store_item> changes, std::uint64_t revision) override;
-    void onStoreCurrent(std::string_view prefix, millis asOf) override;
+    void onStoreFreshness(std::string_view prefix, millis asOf) override;
     void onStoreState(std::string_view prefix, bool ok) override;
 
     void startReader(std::size_t at);
@@ -97,15 +97,15 @@
     void tick();
     void flush();
     void perform(const dial_action &action);
-    void perform(const hang_up_action &action);
-    void perform(const tell_action &action);
+    void perform(const close_link_action &action);
+    void perform(const send_message_action &action);
     void perform(const read_action &action);
-    void perform(const news_action &action);
+    void perform(const store_changes_action &action);
     void perform(const members_action &action);
     void perform(const reports_action &action);
     void perform(const requests_action &action);
-    void perform(const greet_action &action);
-    void perform(const tree_note_action &action);
+    void perform(const link_joined_action &action);
+    void perform(const tree_event_action &action);
 
     boot_clock m_clock;
     listen_address m_address;
--- a/programs/chivelockd/gateway/store_reader.cpp
+++ b/programs/chivelockd/gateway/store_reader.cpp
@@ -207,7 +207,7 @@
     m_watching = true;
     m_lastPageKey.clear();
     m_listener.onStoreContents(m_settings.prefix, std::exchange(m_pagedItems, {}), m_revision);
-    m_listener.onStoreCurrent(m_settings.prefix, m_calledAt);
+    m_listener.onStoreFreshness(m_settings.prefix, m_calledAt);
     issueCall();
 }
 
@@ -223,7 +223,7 @@
     if (hasChanges) {
         m_listener.onStoreChanges(m_settings.prefix, std::move(page->events), m_revision);
     }
-    m_listener.onStoreCurrent(m_settings.prefix, m_calledAt);
+    m_listener.onStoreFreshness(m_settings.prefix, m_calledAt);
     if (hasChanges) {
         scheduleCall(m_settings.gatherPause);
     } else {
--- a/programs/chivelockd/gateway/store_reader.h
+++ b/programs/chivelockd/gateway/store_reader.h
@@ -48,7 +48,7 @@
     /** Every change that the store accepted under the prefix up to @p asOf has been reported: the store has answered a
      *  call that was made at that time. A watch that is still being held confirms nothing, because the store may have
      *  become unreachable. */
-    virtual void onStoreCurrent(std::string_view prefix, millis asOf) = 0;
+    virtual void onStoreFreshness(std::string_view prefix, millis asOf) = 0;
 
     /** @param ok whether the store answers calls. Called after the first call and on each change. */
     virtual void onStoreState(std::string_view prefix, bool ok) = 0;
--- a/programs/chivelockd/leaf_protocol.cpp
+++ b/programs/chivelockd/leaf_protocol.cpp
@@ -55,7 +55,7 @@
     reply.version = {numberField(document, "map_version")};
     reply.heldSnapshot = {numberField(document, "held_snapshot")};
     reply.incarnation = document.value("incarnation", std::uint64_t {0});
-    reply.saysLeaving = document.value("leaving", false);
+    reply.announcesLeaving = document.value("leaving", false);
     reply.retryAfter = millis(document.value("retry_after_ms", 0.0));
     if (reply.status == call_status::Ok) {
         std::ranges::transform(document.at("rows"), std::back_inserter(reply.rows), parseRow);
--- a/programs/chivelockd/main.cpp
+++ b/programs/chivelockd/main.cpp
@@ -66,7 +66,8 @@
 
 tl::expected<daemon_settings, std::string> loadSettings(const std::string &path)
 {
-    return readFile(path).and_then([](const std::string &text) { return readSettings(text).map_error(problemLines); });
+    return readFile(path).and_then(
+        [](const std::string &text) { return readSettings(text).map_error(formatProblems); });
 }
 
 /** @return a number that is new for each start and, taken from the wall clock, increases over restarts of the VM. */
--- a/programs/chivelockd/platform_watch.cpp
+++ b/programs/chivelockd/platform_watch.cpp
@@ -109,7 +109,7 @@
 void platform_watch::startRead(watched_document &watched)
 {
     constexpr std::int64_t replyMarginMs = 2000;
-    const std::int64_t waitMs = m_settings.platform.watchFor.ceiled();
+    const std::int64_t waitMs = m_settings.platform.watchTimeout.ceiled();
     const std::string url = m_settings.platform.url + "/v1/config/" + std::string(watched.path)
         + "?after=" + std::to_string(watched.revision) + "&wait_ms=" + std::to_string(waitMs);
     watched.text.clear();
--- a/programs/chivelockd/reports.cpp
+++ b/programs/chivelockd/reports.cpp
@@ -26,7 +26,7 @@
     if (!status.topologyRefusal.empty()) {
         troubles.push_back("topology refused: " + status.topologyRefusal);
     }
-    if (!status.heardPeers && status.members.size() > 1) {
+    if (!status.receivedPeerHeartbeat && status.members.size() > 1) {
         troubles.push_back("no peer was heard since the start: what is in force here may be older than elsewhere");
     }
     for (const member_rumour &member : status.members) {
@@ -125,12 +125,12 @@
     const std::string_view dropped = "chivelock_dropped_replies_total";
     const std::string_view droppedHelp = "Replies that were not used, by cause";
     return {
-        {leafSends, leafSendsHelp, count(runner.firstTries), "first"},
+        {leafSends, leafSendsHelp, count(runner.firstSends), "first"},
         {leafSends, leafSendsHelp, count(runner.retries), "retry"},
         {leafSends, leafSendsHelp, count(runner.hedges), "hedge"},
         {"chivelock_hedge_wins_total", "Hedges whose answer came first", count(runner.hedgeWins), {}},
         {"chivelock_cancels_total", "Requests cancelled at leafs", count(runner.cancels), {}},
-        {refusals, refusalsHelp, count(root.refusedHere), "own_limits"},
+        {refusals, refusalsHelp, count(root.refusedLocally), "own_limits"},
         {refusals, refusalsHelp, count(runner.refusedOverload), "own_queue"},
         {refusals, refusalsHelp, count(runner.leafSheds), "leaf"},
         {"chivelock_leaf_failures_total", "Requests to leafs that failed", count(runner.leafFailures), {}},
--- a/programs/chivelockd/settings_file.cpp
+++ b/programs/chivelockd/settings_file.cpp
@@ -16,7 +16,7 @@
     return text.str();
 }
 
-std::string problemLines(const document_error &error)
+std::string formatProblems(const document_error &error)
 {
     std::string lines;
     for (const document_problem &problem : error.problems) {
--- a/programs/chivelockd/settings_file.h
+++ b/programs/chivelockd/settings_file.h
@@ -14,6 +14,6 @@
 [[nodiscard]] tl::expected<std::string, std::string> readFile(const std::string &path);
 
 /** Formats the problems as one line each: path, violated rule and value. */
-[[nodiscard]] std::string problemLines(const document_error &error);
+[[nodiscard]] std::string formatProblems(const document_error &error);
 
 } // namespace chivelock
