--- a/libs/entry/src/entry_core.cpp
+++ b/libs/entry/src/entry_core.cpp
@@ -310,7 +310,7 @@
         } else if (const auto *accept = std::get_if<runner_accept>(&action)) {
             sendPeer(accept->to, accept->accepted, now, out);
         } else if (const auto *leaving = std::get_if<leaving_leaf_report>(&action)) {
-            m_members.spread(leaving->leaf);
+            m_members.announceLeavingLeaf(leaving->leaf);
         } else if (const auto *result = std::get_if<at_most_once_result>(&action)) {
             finishTicketedRun(*result, now, out);
         }
--- a/libs/fleet/include/fleet/fleet.h
+++ b/libs/fleet/include/fleet/fleet.h
@@ -77,13 +77,13 @@
      */
     std::vector<store_item> applyRecentDeletions(std::span<const store_item> items);
 
-    struct held {
+    struct stored_value {
         std::uint64_t revision = 0;
         std::string value;
     };
 
     /** @return the item under the key, valid until the next change; nullptr if there is none. */
-    [[nodiscard]] const held *find(std::string_view key) const;
+    [[nodiscard]] const stored_value *find(std::string_view key) const;
 
     /** @return the changes after @p revision, or nullopt if deletions since then are no longer remembered. */
     [[nodiscard]] std::optional<std::vector<store_item>> changesSince(std::uint64_t revision) const;
@@ -109,7 +109,7 @@
 
     bool m_known = false;
     std::uint64_t m_revision = 0;
-    std::map<std::string, held, std::less<>> m_items;
+    std::map<std::string, stored_value, std::less<>> m_items;
     std::map<std::string, deletion, std::less<>> m_deleted; ///< last deletion of each key; the key may exist again
     std::uint64_t m_deletionsSince = 0; ///< @ref m_deleted holds all deletions after this revision
 };
@@ -249,7 +249,7 @@
     millis upstreamTimeout {1100}; ///< without a message the upstream counts as lost: two heartbeats and some delay
     millis drawInterval {60}; ///< between two random draws on whether to read the store; some round trips, so that a
                               ///< process that has just started reading is found before the next draw
-    millis patience {450}; ///< after the root has lost the store, before this process starts to draw
+    millis storeLostDelay {450}; ///< after the root has lost the store, before this process starts to draw
     millis seedStoreLostDelay {240}; ///< the same for a seed; the other processes look for a reader at the seeds
     std::size_t maxMembers = 4096; ///< in member lists: a fleet of some thousands, some hundred kilobytes of memory
     millis readerSearchInterval {3000}; ///< between a reader's searches for another reader to follow
--- a/libs/fleet/src/fleet_items.cpp
+++ b/libs/fleet/src/fleet_items.cpp
@@ -60,7 +60,7 @@
         return false;
     }
     for (const item_patch &patch : items.patches) {
-        const store_view::held *base = view.find(patch.key);
+        const store_view::stored_value *base = view.find(patch.key);
         if (base != nullptr && base->revision >= patch.revision) {
             continue; // already known
         }
@@ -120,7 +120,7 @@
     }
     const store_view &view = m_views.find(prefix)->second;
     std::erase_if(items, [&](const store_item &item) {
-        const store_view::held *base = view.find(item.key);
+        const store_view::stored_value *base = view.find(item.key);
         const bool once = std::ranges::count(items, item.key, &store_item::key) == 1;
         if (base == nullptr || item.deleted || item.value.size() < minPatchedValueBytes || !once
             || item.revision <= base->revision) {
--- a/libs/fleet/src/fleet_upstream.cpp
+++ b/libs/fleet/src/fleet_upstream.cpp
@@ -280,7 +280,7 @@
     }
     if (m_upstreamStoreLostSince == millis::never()) {
         m_upstreamStoreLostSince = now;
-        m_nextDraw = now + (isSeed() ? m_settings.seedStoreLostDelay : m_settings.patience);
+        m_nextDraw = now + (isSeed() ? m_settings.seedStoreLostDelay : m_settings.storeLostDelay);
     }
     drawToReplaceReader(now);
 }
--- a/libs/fleet/src/store_view.cpp
+++ b/libs/fleet/src/store_view.cpp
@@ -71,7 +71,7 @@
     return newItems;
 }
 
-const store_view::held *store_view::find(std::string_view key) const
+const store_view::stored_value *store_view::find(std::string_view key) const
 {
     const auto found = m_items.find(key);
     return found == m_items.end() ? nullptr : &found->second;
--- a/libs/fleet/tests/fleet_world.h
+++ b/libs/fleet/tests/fleet_world.h
@@ -107,7 +107,7 @@
     {
         return countNodes([&](const simulated_process &process) {
             return !process.paused && std::ranges::any_of(m_store, [&](const auto &item) {
-                const store_view::held *held = process.node->view(prefix).find(item.first);
+                const store_view::stored_value *held = process.node->view(prefix).find(item.first);
                 const bool known = item.second.deleted || (held != nullptr && held->revision >= item.second.revision);
                 return !known && m_writtenAt.at(item.second.revision) + storeUpdateDelay < process.node->currentAsOf();
             });
@@ -205,7 +205,7 @@
         const auto item = m_store.find(key);
         const std::uint64_t revision = item == m_store.end() ? 0 : item->second.revision;
         return countNodes([&](const simulated_process &process) {
-            const store_view::held *held = process.node->view(prefix).find(key);
+            const store_view::stored_value *held = process.node->view(prefix).find(key);
             return held != nullptr && held->revision == revision && held->value == item->second.value;
         });
     }
--- a/libs/gateway/include/gateway/gateway.h
+++ b/libs/gateway/include/gateway/gateway.h
@@ -38,7 +38,7 @@
     std::string id; ///< the caller's id of the request, for logs
     std::string_view host;
     std::string_view target;
-    std::optional<millis> patience; ///< the caller's timeout, if the request states one
+    std::optional<millis> callerTimeout; ///< the caller's timeout, if the request states one
     std::optional<millis> roundTrip {}; ///< measured round trip to the caller, if known
     request_fingerprint key {}; ///< equal for all attempts of the same request
     bool newConnection = false; ///< first request on its connection: the caller also waited for the handshake
@@ -120,7 +120,7 @@
     unsigned retries = 0;
     unsigned delegatedSecondSends = 0; ///< hedges and retries that were delegated to other VMs
     millis elapsed;
-    millis ways; ///< part of the caller's timeout reserved for the network and for sending the answer
+    millis networkTime; ///< part of the caller's timeout reserved for the network and for sending the answer
 };
 
 /** A decision about a request in progress, or a change of a leaf's health; for the log. */
@@ -156,7 +156,7 @@
 struct quarantine_update_action {
     exchange_id exchange = 0; ///< of the attempt that caused the change; it may already be answered
     request_fingerprint key;
-    quarantine_state standing = quarantine_state::Clear;
+    quarantine_state state = quarantine_state::Clear;
     std::size_t leafs = 0; ///< that crashed while running it, as far as they are kept
     std::size_t attempts = 0; ///< that no leaf survived
     millis quarantineRemaining; ///< if quarantined: time until the request is admitted again
--- a/libs/gateway/src/canary_requests.cpp
+++ b/libs/gateway/src/canary_requests.cpp
@@ -78,15 +78,15 @@
     if (work.isDelegated() || work.evidence->survived) {
         return true; // for delegated work the delegating VM decides what is sent
     }
-    const quarantine_state standing = m_requests.quarantineStateOf(work.key, now);
-    if (standing == quarantine_state::Quarantined) {
+    const quarantine_state state = m_requests.quarantineStateOf(work.key, now);
+    if (state == quarantine_state::Quarantined) {
         return false;
     }
     if (work.canaryLimit == 0) {
         const bool mayBeTheCause = work.route->isGather() && !m_requests.wasAnsweredRecently(work.key, now);
         return work.evidence->crashedLeafs.size() < (mayBeTheCause ? maxCrashesOfLookup : maxCrashesOtherwise);
     }
-    const bool mayRunCanary = standing == quarantine_state::Clear || isCanaryAttempt(work);
+    const bool mayRunCanary = state == quarantine_state::Clear || isCanaryAttempt(work);
     std::size_t asked = work.evidence->crashedLeafs.size();
     std::ranges::for_each(work.calls, [&](const shard_call &call) { asked += call.open + call.openDelegations; });
     const bool early = now - work.arrivedAt < work.route->objective * secondCanaryShare;
@@ -176,19 +176,19 @@
     if (work.ended || work.isDelegated()) {
         return;
     }
-    const quarantine_state standing = m_requests.quarantineStateOf(work.key, now);
-    const bool clearedElsewhere = work.canaryLimit == suspectCanaryLimit && standing == quarantine_state::Clear;
+    const quarantine_state state = m_requests.quarantineStateOf(work.key, now);
+    const bool clearedElsewhere = work.canaryLimit == suspectCanaryLimit && state == quarantine_state::Clear;
     if (work.evidence->survived || clearedElsewhere) {
         releaseHeld(work, now);
         return;
     }
-    if (work.canaryLimit == suspectCanaryLimit && standing == quarantine_state::Suspect) {
+    if (work.canaryLimit == suspectCanaryLimit && state == quarantine_state::Suspect) {
         m_canaries.try_emplace(work.key, work.id); // takes over if the previous canary attempt has ended
     }
     if (work.canaryLimit > 0 && work.route->isGather()) {
         sendCanaries(work, now);
     }
-    const bool quarantined = standing == quarantine_state::Quarantined;
+    const bool quarantined = state == quarantine_state::Quarantined;
     const bool stuck = !maySendMore(work, now) && (quarantined || !work.evidence->crashedLeafs.empty());
     if (!work.ended && stuck && !work.isUnderWay()) {
         answerUnserved(work, quarantined ? "quarantined" : "leafs_ended", false, now);
@@ -282,7 +282,7 @@
     quarantine_update_action verdict;
     verdict.exchange = attempt;
     verdict.key = key;
-    verdict.standing = m_requests.quarantineStateOf(key, now);
+    verdict.state = m_requests.quarantineStateOf(key, now);
     verdict.quarantineRemaining = m_requests.quarantineRemaining(key, now);
     if (const request_evidence *known = m_requests.find(key)) {
         verdict.leafs = crashedLeafs(*known);
--- a/libs/gateway/src/engine.cpp
+++ b/libs/gateway/src/engine.cpp
@@ -135,7 +135,7 @@
     work->arrivedAt = now;
     work->networkTime = estimateNetworkTime(request);
     const millis callerTimeout =
-        request.patience ? timeoutAfterNetwork(*request.patience, work->networkTime) : route->timeout;
+        request.callerTimeout ? timeoutAfterNetwork(*request.callerTimeout, work->networkTime) : route->timeout;
     work->limit = now + std::min(callerTimeout, route->timeout);
     exchange &kept = *m_exchanges.emplace(id, std::move(work)).first->second;
     beginCanary(kept, now);
--- a/libs/gateway/src/engine_answers.cpp
+++ b/libs/gateway/src/engine_answers.cpp
@@ -88,7 +88,7 @@
     result.retries = work.retries;
     result.delegatedSecondSends = work.delegatedSecondSends;
     result.elapsed = now - work.arrivedAt;
-    result.ways = work.networkTime;
+    result.networkTime = work.networkTime;
     work.ended = true;
 }
 
@@ -136,7 +136,7 @@
         work.asked.more += 1;
     }
     if (leavingFor) {
-        logEvent(work, "leaving_leaf_asked", asked.standing(), &asked, asked.entry.service, *leavingFor, now);
+        logEvent(work, "leaving_leaf_asked", asked.stateName(), &asked, asked.entry.service, *leavingFor, now);
     }
 }
 
--- a/libs/gateway/src/leaf_choice.cpp
+++ b/libs/gateway/src/leaf_choice.cpp
@@ -95,7 +95,7 @@
 
 bool gateway_engine::setZoneDrained(const zone_name &zone, bool drained, millis now)
 {
-    return drained ? m_zones.empty(zone) : m_zones.undrain(zone, now);
+    return drained ? m_zones.drain(zone) : m_zones.undrain(zone, now);
 }
 
 /** @return whether a request may go to the zone; a random share may while the zone is being undrained. */
--- a/libs/gateway/tests/two_vms.h
+++ b/libs/gateway/tests/two_vms.h
@@ -328,7 +328,8 @@
 
     void perform(std::size_t, const progress_action &action)
     {
-        // The engine may answer before it has told its number: the last one handed over is meant.
+        // The engine may emit progress before acceptDelegatedWork() has returned the id of the exchange; it is looked
+        // up when the message is delivered.
         postMessage(0, [this, action] {
             for (const auto &[delegation, exchange] : m_accepted) {
                 if (exchange == action.exchange) {
--- a/libs/leafs/include/leafs/leafs.h
+++ b/libs/leafs/include/leafs/leafs.h
@@ -228,7 +228,7 @@
     [[nodiscard]] std::optional<millis> leavingSince() const;
 
     /** @return the state of the leaf for log events. */
-    [[nodiscard]] std::string_view standing() const;
+    [[nodiscard]] std::string_view stateName() const;
 };
 
 /** What is kept of a removed leaf, since a delayed write may make its entry reappear. */
--- a/libs/leafs/src/leaf_directory.cpp
+++ b/libs/leafs/src/leaf_directory.cpp
@@ -72,7 +72,7 @@
     return since < millis::never() ? std::optional(since) : std::nullopt;
 }
 
-std::string_view leaf::standing() const
+std::string_view leaf::stateName() const
 {
     if (entryUnreadable) {
         return "unreadable";
--- a/libs/membership/include/membership/membership.h
+++ b/libs/membership/include/membership/membership.h
@@ -68,7 +68,7 @@
     void startLeaving();
 
     /** Adds a leaving leaf to the next heartbeats. */
-    void spread(leaving_leaf leaf);
+    void announceLeavingLeaf(leaving_leaf leaf);
 
     /** Members that may run shards, sorted. Includes this process unless it is leaving and other runners exist. */
     [[nodiscard]] std::span<const vm_id> runners() const
--- a/libs/membership/src/membership.cpp
+++ b/libs/membership/src/membership.cpp
@@ -58,7 +58,7 @@
         mergeRumour(rumour, now);
     }
     for (const leaving_leaf &leaf : message.leavingLeafs) {
-        spread(leaf);
+        announceLeavingLeaf(leaf);
     }
     const auto found = m_members.find(message.self.vm);
     if (found != m_members.end() && message.isAck && found->second.awaitedNonce == message.nonce) {
@@ -121,7 +121,7 @@
     refreshRunners();
 }
 
-void membership::spread(leaving_leaf leaf)
+void membership::announceLeavingLeaf(leaving_leaf leaf)
 {
     m_leavingLeafs.try_emplace(leaf, 0);
 }
--- a/libs/membership/tests/test_membership.cpp
+++ b/libs/membership/tests/test_membership.cpp
@@ -119,7 +119,7 @@
 {
     membership firstVm({1}, 100, {}, 1);
     firstVm.onVmList(vmListOf(2));
-    firstVm.spread({{5}, 1});
+    firstVm.announceLeavingLeaf({{5}, 1});
     const auto sends = firstVm.tick({}, millis(5000));
     BOOST_REQUIRE(sends.size() == 1);
     BOOST_TEST((sends.front().message.leavingLeafs == std::vector<leaving_leaf> {{{5}, 1}}));
--- a/libs/quarantine/include/quarantine/quarantine.h
+++ b/libs/quarantine/include/quarantine/quarantine.h
@@ -106,7 +106,7 @@
     Quarantined ///< refused
 };
 
-[[nodiscard]] std::string_view toString(quarantine_state standing);
+[[nodiscard]] std::string_view toString(quarantine_state state);
 
 /** Thresholds and times for quarantining a request. */
 struct quarantine_settings {
--- a/libs/quarantine/src/request_ledger.cpp
+++ b/libs/quarantine/src/request_ledger.cpp
@@ -122,9 +122,9 @@
     return static_cast<route_digest>(XXH3_64bits(name.data(), name.size()));
 }
 
-std::string_view toString(quarantine_state standing)
+std::string_view toString(quarantine_state state)
 {
-    switch (standing) {
+    switch (state) {
     case quarantine_state::Clear:
         return "clear";
     case quarantine_state::Suspect:
--- a/libs/zones/include/zones/zones.h
+++ b/libs/zones/include/zones/zones.h
@@ -25,7 +25,7 @@
     }
 
     /** Drains the zone. @return false if it was drained already. */
-    bool empty(const zone_name &zone);
+    bool drain(const zone_name &zone);
 
     /** Undrains the zone. @return false if it was not drained. */
     bool undrain(const zone_name &zone, millis now);
--- a/libs/zones/src/drained_zones.cpp
+++ b/libs/zones/src/drained_zones.cpp
@@ -4,7 +4,7 @@
 
 namespace chivelock {
 
-bool drained_zones::empty(const zone_name &zone)
+bool drained_zones::drain(const zone_name &zone)
 {
     m_undrainedAt.erase(zone);
     return m_drained.insert(zone).second;
--- a/libs/zones/tests/test_drained_zones.cpp
+++ b/libs/zones/tests/test_drained_zones.cpp
@@ -26,9 +26,9 @@
 BOOST_AUTO_TEST_CASE(each_of_several_drained_zones_gets_nothing_until_it_is_undrained)
 {
     drained_zones zones(rampUp);
-    BOOST_CHECK(zones.empty(north));
-    BOOST_CHECK(zones.empty(south));
-    BOOST_CHECK(!zones.empty(north));
+    BOOST_CHECK(zones.drain(north));
+    BOOST_CHECK(zones.drain(south));
+    BOOST_CHECK(!zones.drain(north));
     BOOST_CHECK_EQUAL(zones.trafficShare(north, start), 0.0);
     BOOST_CHECK(zones.undrain(south, start));
     BOOST_CHECK(zones.isDrained(north));
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(the_share_of_an_undrained_zone_rises_gradually)
 {
     drained_zones zones(rampUp);
-    zones.empty(north);
+    zones.drain(north);
     zones.undrain(north, start);
     double previous = 0;
     for (double elapsed = 0; elapsed <= 1; elapsed += 0.25) {
@@ -53,9 +53,9 @@
 BOOST_AUTO_TEST_CASE(a_zone_that_is_drained_again_gets_nothing_at_once)
 {
     drained_zones zones(rampUp);
-    zones.empty(north);
+    zones.drain(north);
     zones.undrain(north, start);
-    zones.empty(north);
+    zones.drain(north);
     BOOST_CHECK_EQUAL(zones.trafficShare(north, start + rampUp), 0.0);
 }
 
@@ -71,7 +71,7 @@
     constexpr std::size_t zoneCount = 10000;
     drained_zones zones(rampUp);
     for (std::size_t at = 0; at < zoneCount; ++at) {
-        zones.empty({std::to_string(at)});
+        zones.drain({std::to_string(at)});
     }
     BOOST_CHECK_EQUAL(zones.size(), zoneCount);
     for (std::size_t at = 0; at < zoneCount; ++at) {
--- a/programs/chivelockd/gateway/gateway_service.cpp
+++ b/programs/chivelockd/gateway/gateway_service.cpp
@@ -137,7 +137,7 @@
     engineRequest.id = marks.requestId;
     engineRequest.host = findHeader(request.headers, "Host");
     engineRequest.target = request.target;
-    engineRequest.patience = marks.patience;
+    engineRequest.callerTimeout = marks.patience;
     engineRequest.roundTrip = m_callers->roundTripTo(session);
     engineRequest.newConnection = m_callers->isFirstRequest(session);
     const std::string caller = credentialsFrom(request.headers);
@@ -248,7 +248,7 @@
               {"retries", std::uint64_t {action.retries}},
               {"second_handed", std::uint64_t {action.delegatedSecondSends}},
               {"elapsed_ms", action.elapsed.ceiled()},
-              {"ways_us", action.ways.micros()},
+              {"ways_us", action.networkTime.micros()},
               {"retry_after_ms", action.retryAfter.ceiled()}});
 }
 
@@ -294,7 +294,7 @@
         log_level::Warning,
         "request_verdict",
         {{"key", toString(action.key)},
-         {"outcome", std::string(toString(action.standing))},
+         {"outcome", std::string(toString(action.state))},
          {"leafs", std::uint64_t {action.leafs}},
          {"attempts", std::uint64_t {action.attempts}},
          {"held_ms", action.quarantineRemaining.ceiled()},
--- a/programs/chivelockd/gateway/gateway_store.cpp
+++ b/programs/chivelockd/gateway/gateway_store.cpp
@@ -179,7 +179,7 @@
                   {"service", entry->service.value},
                   {"address", entry->address},
                   {"revision", item.revision},
-                  {"outcome", std::string(m_engine.leafs().find(id)->standing())},
+                  {"outcome", std::string(m_engine.leafs().find(id)->stateName())},
                   {"told_by", m_feed->source()},
                   {"as_of_ms", m_engine.leafs().maxUpdateAge(now).ceiled()}});
     }
--- a/programs/chivelockd/gateway/store_feed.cpp
+++ b/programs/chivelockd/gateway/store_feed.cpp
@@ -48,7 +48,7 @@
     settings.seeds = from.seeds;
     settings.prefixes = {std::string(platform::configPrefix), std::string(platform::leafPrefix)};
     settings.seedStoreLostDelay = from.applyLimit * seedUpstreamGraceShare;
-    settings.patience = from.applyLimit * upstreamGraceShare;
+    settings.storeLostDelay = from.applyLimit * upstreamGraceShare;
     settings.drawInterval = from.applyLimit * drawIntervalShare;
     return settings;
 }
