--- a/libs/wire/include/wire/wire.h
+++ b/libs/wire/include/wire/wire.h
@@ -2,8 +2,8 @@
 
 /**
  * @file
- * What the system's own processes tell each other, as plain structs, and the codec (FlatBuffers in length-prefixed
- * frames) that carries them. The decision libraries use only the structs.
+ * Messages between the processes of the system, as plain structs, and their codec (FlatBuffers in length-prefixed
+ * frames). The decision libraries use only the structs.
  */
 
 #include <base/base.h>
@@ -19,7 +19,8 @@
 
 namespace chivelock {
 
-/** Names one lookup in the whole fleet: the process that is its root, and that process's count. */
+/** Identifies a lookup across the fleet: VM and incarnation of its root process, and a sequence number of that process.
+ */
 struct request_key {
     vm_id root;
     std::uint64_t incarnation = 0;
@@ -31,11 +32,11 @@
 struct result_row {
     std::string id;
     double score = 0;
-    std::string data; ///< JSON text, passed on as it came
+    std::string data; ///< JSON text, forwarded unchanged
     bool operator==(const result_row &) const = default;
 };
 
-/** What one VM is believed to be. */
+/** Membership state of a VM as seen by another VM. */
 enum class member_state : std::uint8_t {
     Alive,
     Suspect,
@@ -45,7 +46,7 @@
 
 [[nodiscard]] std::string_view toString(member_state state);
 
-/** What one VM has heard of another; a higher incarnation, then a higher version, is newer. */
+/** Gossip about one VM. The higher incarnation is newer; with equal incarnations, the higher version is newer. */
 struct member_rumour {
     vm_id vm;
     std::uint64_t incarnation = 0;
@@ -54,14 +55,14 @@
     bool operator==(const member_rumour &) const = default;
 };
 
-/** A leaf that was seen to leave; final for this incarnation of the leaf. */
+/** A leaf that was observed to be leaving. The state is final for this incarnation of the leaf. */
 struct leaving_leaf {
     leaf_id leaf;
     std::uint64_t incarnation = 0;
     constexpr auto operator<=>(const leaving_leaf &) const = default;
 };
 
-/** Sign of life and carrier of everything that spreads. */
+/** Liveness signal that also carries gossip: catalogue and topology revisions, member rumours and leaving leafs. */
 struct heartbeat {
     member_rumour self;
     bool isAck = false;
@@ -72,7 +73,7 @@
     std::vector<leaving_leaf> leavingLeafs;
 };
 
-/** Root to runner: run these shards of one attempt. */
+/** Root to runner: requests the execution of these shards as part of one attempt. */
 struct run_shards {
     request_key key;
     std::uint32_t attempt = 0;
@@ -85,22 +86,22 @@
     std::uint32_t maxRows = 0;
     std::shared_ptr<const std::string> body;
     std::vector<shard_id> shards;
-    bool cameBack = false; ///< refused before, and returned when told: goes before new ordinary work
+    bool cameBack = false; ///< retried after the given Retry-After time: is queued ahead of new ordinary work
 };
 
-/** Runner to root: this attempt is in my hands, and I am awake. */
+/** Runner to root: the runner is responsive and has accepted this attempt. */
 struct run_accepted {
     request_key key;
     std::uint32_t attempt = 0;
 };
 
-/** Root to runner: are you still on this attempt? */
+/** Root to runner: asks whether the runner is still working on this attempt. */
 struct run_probe {
     request_key key;
     std::uint32_t attempt = 0;
 };
 
-/** Root to runner: drop what is left of this attempt. */
+/** Root to runner: cancels the unfinished shards of this attempt. */
 struct run_cancel {
     request_key key;
     std::uint32_t attempt = 0;
@@ -109,26 +110,26 @@
 /** How one shard of one attempt ended at its runner. */
 enum class shard_status : std::uint8_t {
     Ok,
-    Overloaded, ///< refused before any leaf saw it: the queue is too long for the time that is left
+    Overloaded, ///< not executed: the runner's queue is too long for the remaining time, or leafs shed the request
     SnapshotGone, ///< no leaf of the shard holds the snapshot
-    LeafFailed, ///< tried, and every try failed
-    NoLeaf, ///< no leaf may be used: all leave, or none shows signs of life
-    Expired ///< the time was up
+    LeafFailed, ///< every attempt at a leaf failed
+    NoLeaf, ///< no leaf is usable: all are leaving or unresponsive
+    Expired ///< the deadline passed
 };
 
 [[nodiscard]] std::string_view toString(shard_status status);
 
-/** Runner to root: the end of one shard. */
+/** Runner to root: the result of one shard. */
 struct shard_reply {
     request_key key;
     std::uint32_t attempt = 0;
     shard_id shard;
     shard_status status = shard_status::Ok;
-    snapshot_id snapshot; ///< that the rows come from
+    snapshot_id snapshot; ///< the snapshot that the rows come from
     map_version version;
-    snapshot_id heldSnapshot; ///< newest one that a leaf named, with @ref shard_status::SnapshotGone
+    snapshot_id heldSnapshot; ///< with @ref shard_status::SnapshotGone: newest snapshot that a leaf reported
     millis retryAfter;
-    std::uint32_t attempts = 0; ///< leaf requests spent on it
+    std::uint32_t attempts = 0; ///< leaf requests sent for this shard
     millis queued; ///< from the runner's receipt to the send of the try that won
     millis service; ///< of the try that won
     std::vector<result_row> rows;
@@ -136,17 +137,17 @@
 
 /** How a lookup ended. */
 enum class lookup_outcome : std::uint8_t {
-    Whole, ///< every shard of the pinned map, from one snapshot
-    Partial, ///< the named shards; the kind allows it
-    NotRun, ///< nothing was started and nothing will be
-    Failed, ///< tried in vain; repeatable, so harmless
-    Unknown ///< unrepeatable: may have run once, will not run again
+    Whole, ///< covers every shard of the pinned map, from one snapshot
+    Partial, ///< covers only the listed shards, which the kind allows
+    NotRun, ///< nothing was executed, and nothing will be
+    Failed, ///< attempted without success; the lookup is idempotent, so a repeat is harmless
+    Unknown ///< non-idempotent: may have run once, will not run again
 };
 
 [[nodiscard]] std::string_view toString(lookup_outcome outcome);
 
-/** How a request ends that is refused before anything was started for it. Without a ticket nothing can have run. With
- *  one, an earlier request may have used it, and only the ticket's issuer can say "not run". */
+/** @return the outcome of a request that is refused before any of it was executed. Without a ticket, nothing can have
+ *  run. With a ticket, an earlier request may have used it, and only the issuer of the ticket can rule that out. */
 [[nodiscard]] constexpr lookup_outcome outcomeOfRefusal(bool hasTicket)
 {
     return hasTicket ? lookup_outcome::Unknown : lookup_outcome::NotRun;
@@ -159,7 +160,7 @@
     UnknownKind,
     NeedsTicket,
     TicketMismatch, ///< the ticket was used for another request
-    KindLimit, ///< the fleet-wide limit of the kind
+    KindLimit, ///< the fleet-wide limit of the kind is reached
     Overloaded,
     NoTopology,
     NoCatalogue,
@@ -167,44 +168,44 @@
     LeafsFailed,
     NoLeaf,
     Expired,
-    IssuerUnreachable, ///< the process that issued the ticket can't be asked
-    TicketUnknown, ///< the issuer knows nothing of the ticket any more
+    IssuerUnreachable, ///< the process that issued the ticket can't be reached
+    TicketUnknown, ///< the issuer no longer has a record of the ticket
     TicketTableFull,
-    Running, ///< the ticketed lookup still runs; ask again
+    Running, ///< the lookup with this ticket is still running; the caller should ask again
     Stopping,
-    RingFull ///< a queue inside this process was full
+    RingFull ///< an internal queue of this process was full
 };
 
 [[nodiscard]] std::string_view toString(answer_reason reason);
 
-/** A shard that an answer does not cover. */
+/** A shard that an answer does not cover, and why. */
 struct missing_shard {
     shard_id shard;
     answer_reason reason = answer_reason::None;
     bool operator==(const missing_shard &) const = default;
 };
 
-/** The one final answer to a caller. */
+/** The final answer to a caller; each request gets exactly one. */
 struct lookup_answer {
     std::string requestId;
     kind_name kind;
-    urgency priority = urgency::Ordinary; ///< of the kind; each process reads it from its own catalogue
+    urgency priority = urgency::Ordinary; ///< priority of the kind; each process reads it from its own catalogue
     lookup_outcome outcome = lookup_outcome::NotRun;
     answer_reason reason = answer_reason::None;
     snapshot_id snapshot;
     map_version version;
     std::uint64_t catalogueRevision = 0;
     std::vector<shard_id> covered; ///< sorted
-    std::vector<missing_shard> missing; ///< sorted by shard; covered and missing make up the pinned map
+    std::vector<missing_shard> missing; ///< sorted by shard; covered and missing together are the pinned map
     std::vector<result_row> rows;
     millis elapsed;
     millis retryAfter; ///< 0: no advice
-    std::uint32_t attempts = 0; ///< leaf requests spent on it
+    std::uint32_t attempts = 0; ///< leaf requests sent for the lookup
     std::string ticket;
     std::string detail;
 };
 
-/** Any VM to the issuer of a ticket: use it for this request. */
+/** Any VM to the issuer of a ticket: redeems the ticket for this request. */
 struct ticket_use {
     std::uint64_t nonce = 0;
     std::string ticket;
@@ -221,12 +222,12 @@
     lookup_answer answer;
 };
 
-/** Give me what changed after this revision. */
+/** Asks a peer for the catalogue changes after this revision. */
 struct catalogue_pull {
     std::uint64_t haveRevision = 0;
 };
 
-/** A catalogue as text, whole or as a delta. */
+/** A catalogue as text: the full document or a delta. */
 struct catalogue_push {
     std::string document;
     bool isDelta = false;
@@ -243,49 +244,49 @@
                                   catalogue_pull,
                                   catalogue_push>;
 
-/** A message and who sent it. */
+/** A message and its sender. */
 struct peer_envelope {
     vm_id from;
     peer_message message;
 };
 
-/** Why bytes are not a message. */
+/** Why a frame could not be decoded. */
 enum class wire_error : std::uint8_t {
     TooLong, ///< the length prefix is above @ref maxFrameBytes
-    Malformed, ///< the FlatBuffers verifier refused it
-    UnknownMessage ///< no message, or a value that this version does not know
+    Malformed, ///< rejected by the FlatBuffers verifier, or a required table is missing
+    UnknownMessage ///< has no message, or holds a type or enum value that this version does not know
 };
 
 [[nodiscard]] std::string_view toString(wire_error error);
 
-/** The longest payload of a frame, in bytes; a catalogue of a megabyte fits with room to spare. */
+/** Largest payload of a frame, in bytes. Leaves headroom above a catalogue of one megabyte. */
 inline constexpr std::size_t maxFrameBytes = 4U << 20U;
 
-/** Bytes before the payload: its length, little-endian. */
+/** Size of the length prefix before the payload; the length is little-endian. */
 inline constexpr std::size_t framePrefixBytes = 4;
 
-/** @return @p payload behind its length prefix. The library's own prefix would shift the alignment that its verifier
- *  counts from. */
+/** @return a frame: the length prefix followed by @p payload. The size prefix of FlatBuffers is not used, because it
+ *  would shift the offset from which the FlatBuffers verifier computes alignment. */
 [[nodiscard]] std::string frameOf(std::span<const std::uint8_t> payload);
 
-/** Copies a payload to where its structs have the alignment that they need; in a stream's buffer it starts anywhere. */
+/** Copies a payload into storage that is aligned for its structs; in a stream buffer it may start at any offset. */
 [[nodiscard]] std::vector<std::uint64_t> alignedCopy(std::span<const std::uint8_t> payload);
 
-/** @return a whole frame, prefix included. */
+/** @return a complete frame, including the length prefix. */
 [[nodiscard]] std::string encodeFrame(vm_id from, const peer_message &message);
 
-/** Checks and reads the payload of one frame. */
+/** Verifies and decodes the payload of one frame. */
 [[nodiscard]] tl::expected<peer_envelope, wire_error> decodePayload(std::span<const std::uint8_t> payload);
 
-/** Cuts a byte stream into payloads. */
+/** Splits a byte stream into frame payloads. */
 class frame_reader
 {
 public:
-    /** Takes bytes as they come. */
+    /** Appends received bytes; frames may be split at any position. */
     void append(std::span<const std::uint8_t> bytes);
 
-    /** @return the next whole payload, nothing if more bytes are needed, or why the stream must be closed. The
-     *  view holds until the next call. */
+    /** @return the next complete payload, nothing if more bytes are needed, or the error for which the stream must be
+     *  closed. The view is valid until the next call on the reader. */
     [[nodiscard]] tl::expected<std::optional<std::span<const std::uint8_t>>, wire_error> next();
 
 private:
@@ -299,7 +300,7 @@
 struct std::hash<chivelock::request_key> {
     std::size_t operator()(const chivelock::request_key &key) const noexcept
     {
-        constexpr std::uint64_t spread = 0x9e3779b97f4a7c15ULL;
-        return static_cast<std::size_t>((key.sequence ^ key.incarnation) * spread + key.root.value);
+        constexpr std::uint64_t hashMultiplier = 0x9e3779b97f4a7c15ULL;
+        return static_cast<std::size_t>((key.sequence ^ key.incarnation) * hashMultiplier + key.root.value);
     }
 };
--- a/libs/wire/src/decode.cpp
+++ b/libs/wire/src/decode.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Absent strings read as empty: a sender of another version may leave a field out. */
+/** Decodes an absent string as empty: a sender of another version may omit a field. */
 std::string textOf(const flatbuffers::String *text)
 {
     return text != nullptr ? text->str() : std::string();
@@ -41,16 +41,16 @@
     return result;
 }
 
-/** A number beyond the last known name would index past the tables that the values select from. */
+/** Values above the last known one must be rejected: they would index past the end of lookup tables. */
 template<typename enumeration>
 bool isKnown(std::uint8_t value, enumeration last)
 {
     return value <= static_cast<std::uint8_t>(last);
 }
 
-using decoded = tl::expected<peer_message, wire_error>;
+using decode_result = tl::expected<peer_message, wire_error>;
 
-decoded decodeHeartbeat(const wire::Heartbeat &from)
+decode_result decodeHeartbeat(const wire::Heartbeat &from)
 {
     if (!isKnown(from.state(), member_state::Gone)) {
         return tl::unexpected(wire_error::UnknownMessage);
@@ -62,12 +62,12 @@
     message.catalogueRevision = from.catalogue_revision();
     message.topologyRevision = from.topology_revision();
     if (from.rumours() != nullptr) {
-        for (const wire::Rumour *heard : *from.rumours()) {
-            if (!isKnown(heard->state(), member_state::Gone)) {
+        for (const wire::Rumour *rumour : *from.rumours()) {
+            if (!isKnown(rumour->state(), member_state::Gone)) {
                 return tl::unexpected(wire_error::UnknownMessage);
             }
             message.rumours.push_back(
-                {{heard->vm()}, heard->incarnation(), heard->version(), static_cast<member_state>(heard->state())});
+                {{rumour->vm()}, rumour->incarnation(), rumour->version(), static_cast<member_state>(rumour->state())});
         }
     }
     if (from.leaving_leafs() != nullptr) {
@@ -78,7 +78,7 @@
     return message;
 }
 
-decoded decodeRunShards(const wire::RunShards &from)
+decode_result decodeRunShards(const wire::RunShards &from)
 {
     if (!isKnown(from.priority(), urgency::Ordinary)) {
         return tl::unexpected(wire_error::UnknownMessage);
@@ -99,7 +99,7 @@
     return message;
 }
 
-decoded decodeShardReply(const wire::ShardReply &from)
+decode_result decodeShardReply(const wire::ShardReply &from)
 {
     if (!isKnown(from.status(), shard_status::Expired)) {
         return tl::unexpected(wire_error::UnknownMessage);
@@ -151,7 +151,7 @@
     return answer;
 }
 
-decoded decodeTicketUse(const wire::TicketUse &from)
+decode_result decodeTicketUse(const wire::TicketUse &from)
 {
     return ticket_use {from.nonce(),
                        textOf(from.ticket()),
@@ -162,7 +162,7 @@
                        millis::fromMicros(from.remaining_micros())};
 }
 
-decoded decodeTicketAnswer(const wire::TicketAnswer &from)
+decode_result decodeTicketAnswer(const wire::TicketAnswer &from)
 {
     if (from.answer() == nullptr) {
         return tl::unexpected(wire_error::Malformed);
@@ -172,7 +172,7 @@
     });
 }
 
-decoded decodeMessage(const wire::Envelope &envelope)
+decode_result decodeMessage(const wire::Envelope &envelope)
 {
     switch (envelope.message_type()) {
     case wire::Message::Heartbeat:
@@ -202,7 +202,7 @@
     }
 }
 
-std::size_t lengthAt(std::span<const std::uint8_t> prefix)
+std::size_t readLength(std::span<const std::uint8_t> prefix)
 {
     return static_cast<std::size_t>(prefix[0]) | static_cast<std::size_t>(prefix[1]) << 8U
         | static_cast<std::size_t>(prefix[2]) << 16U | static_cast<std::size_t>(prefix[3]) << 24U;
@@ -221,8 +221,8 @@
 {
     const std::vector<std::uint64_t> aligned = alignedCopy(bytes);
     const std::span<const std::uint8_t> payload(reinterpret_cast<const std::uint8_t *>(aligned.data()), bytes.size());
-    // Without the verifier, an offset made up by a sender reads memory outside the frame; it shows as a crash or as
-    // foreign bytes in an answer.
+    // Without the verifier, a forged offset would read memory outside the frame: the process crashes, or unrelated
+    // bytes end up in an answer.
     flatbuffers::Verifier verifier(payload.data(), payload.size());
     if (payload.empty() || !wire::VerifyEnvelopeBuffer(verifier)) {
         return tl::unexpected(wire_error::Malformed);
@@ -247,19 +247,19 @@
 
 tl::expected<std::optional<std::span<const std::uint8_t>>, wire_error> frame_reader::next()
 {
-    const std::span<const std::uint8_t> waiting = std::span<const std::uint8_t>(m_buffer).subspan(m_begin);
-    if (waiting.size() < framePrefixBytes) {
+    const std::span<const std::uint8_t> unread = std::span<const std::uint8_t>(m_buffer).subspan(m_begin);
+    if (unread.size() < framePrefixBytes) {
         return std::nullopt;
     }
-    const std::size_t length = lengthAt(waiting);
+    const std::size_t length = readLength(unread);
     if (length > maxFrameBytes) {
         return tl::unexpected(wire_error::TooLong);
     }
-    if (waiting.size() < framePrefixBytes + length) {
+    if (unread.size() < framePrefixBytes + length) {
         return std::nullopt;
     }
     m_begin += framePrefixBytes + length;
-    return waiting.subspan(framePrefixBytes, length);
+    return unread.subspan(framePrefixBytes, length);
 }
 
 } // namespace chivelock
--- a/libs/wire/src/encode.cpp
+++ b/libs/wire/src/encode.cpp
@@ -69,16 +69,16 @@
                               detail);
 }
 
-/** Builds the table for each message type. */
+/** Builds the FlatBuffers table of each message type. */
 struct message_builder {
     FlatBufferBuilder &builder;
 
     Offset<void> operator()(const heartbeat &message) const
     {
         std::vector<Offset<wire::Rumour>> rumours;
-        for (const member_rumour &heard : message.rumours) {
+        for (const member_rumour &rumour : message.rumours) {
             rumours.push_back(wire::CreateRumour(
-                builder, heard.vm.value, heard.incarnation, heard.version, static_cast<std::uint8_t>(heard.state)));
+                builder, rumour.vm.value, rumour.incarnation, rumour.version, static_cast<std::uint8_t>(rumour.state)));
         }
         std::vector<wire::LeafIncarnation> leaving;
         for (const leaving_leaf &leaf : message.leavingLeafs) {
@@ -191,7 +191,7 @@
     }
 };
 
-/** The union's type numbers follow the order of @ref peer_message, from 1. */
+/** The type numbers of the union in peer.fbs follow the order of @ref peer_message and start at 1. */
 wire::Message typeOf(const peer_message &message)
 {
     return static_cast<wire::Message>(message.index() + 1);
--- a/libs/wire/tests/test_wire.cpp
+++ b/libs/wire/tests/test_wire.cpp
@@ -13,7 +13,7 @@
 }
 
 template<typename message>
-message passed(const message &sent)
+message roundTrip(const message &sent)
 {
     const std::string frame = encodeFrame({7}, sent);
     const auto envelope = decodePayload(bytesOf(frame).subspan(framePrefixBytes));
@@ -24,7 +24,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(run_passes_unchanged)
+BOOST_AUTO_TEST_CASE(run_shards_round_trips_unchanged)
 {
     run_shards run;
     run.key = {{3}, 1700000000000, 42};
@@ -38,15 +38,15 @@
     run.maxRows = 10;
     run.body = std::make_shared<std::string>("{\"q\":1}");
     run.shards = {{0}, {5}};
-    const run_shards got = passed(run);
-    BOOST_TEST((got.key == run.key));
-    BOOST_TEST((got.remaining == run.remaining));
-    BOOST_TEST(*got.body == *run.body);
-    BOOST_TEST((got.shards == run.shards));
-    BOOST_TEST((got.priority == urgency::Ordinary));
+    const run_shards received = roundTrip(run);
+    BOOST_TEST((received.key == run.key));
+    BOOST_TEST((received.remaining == run.remaining));
+    BOOST_TEST(*received.body == *run.body);
+    BOOST_TEST((received.shards == run.shards));
+    BOOST_TEST((received.priority == urgency::Ordinary));
 }
 
-BOOST_AUTO_TEST_CASE(answer_of_a_ticket_passes_unchanged)
+BOOST_AUTO_TEST_CASE(ticket_answer_round_trips_unchanged)
 {
     ticket_answer sent;
     sent.nonce = 5;
@@ -57,49 +57,49 @@
     sent.answer.missing = {{{2}, answer_reason::Expired}};
     sent.answer.rows = {{"id", 0.5, "{}"}};
     sent.answer.ticket = "t";
-    const ticket_answer got = passed(sent);
-    BOOST_TEST((got.answer.missing == sent.answer.missing));
-    BOOST_TEST((got.answer.rows == sent.answer.rows));
-    BOOST_TEST((got.answer.reason == answer_reason::RingFull));
+    const ticket_answer received = roundTrip(sent);
+    BOOST_TEST((received.answer.missing == sent.answer.missing));
+    BOOST_TEST((received.answer.rows == sent.answer.rows));
+    BOOST_TEST((received.answer.reason == answer_reason::RingFull));
 }
 
-BOOST_AUTO_TEST_CASE(heartbeat_and_reply_pass_unchanged)
+BOOST_AUTO_TEST_CASE(heartbeat_and_shard_reply_round_trip_unchanged)
 {
-    heartbeat beat;
-    beat.self = {{1}, 2, 3, member_state::Leaving};
-    beat.rumours = {{{4}, 5, 6, member_state::Gone}};
-    beat.leavingLeafs = {{{8}, 9}};
-    const heartbeat got = passed(beat);
-    BOOST_TEST((got.self == beat.self));
-    BOOST_TEST((got.rumours == beat.rumours));
-    BOOST_TEST((got.leavingLeafs == beat.leavingLeafs));
+    heartbeat sent;
+    sent.self = {{1}, 2, 3, member_state::Leaving};
+    sent.rumours = {{{4}, 5, 6, member_state::Gone}};
+    sent.leavingLeafs = {{{8}, 9}};
+    const heartbeat received = roundTrip(sent);
+    BOOST_TEST((received.self == sent.self));
+    BOOST_TEST((received.rumours == sent.rumours));
+    BOOST_TEST((received.leavingLeafs == sent.leavingLeafs));
     shard_reply reply;
     reply.status = shard_status::Expired;
     reply.retryAfter = millis(7);
-    BOOST_TEST((passed(reply).status == shard_status::Expired));
+    BOOST_TEST((roundTrip(reply).status == shard_status::Expired));
 }
 
-// Symptom: one peer's broken or hostile frame crashes the process or fills its memory.
-// Sequence: bytes arrive that claim a huge length, or whose offsets point outside the frame.
-// Cause: reading before checking.
-BOOST_AUTO_TEST_CASE(broken_frames_are_refused)
+// Guards against a corrupt or hostile frame from a peer that crashes the process or exhausts its memory. The frame
+// announces a huge length, or its offsets point outside the frame, and it is read before it is verified.
+BOOST_AUTO_TEST_CASE(corrupt_frames_are_rejected)
 {
     frame_reader reader;
     const std::vector<std::uint8_t> huge = {0xff, 0xff, 0xff, 0x7f};
     reader.append(huge);
-    const auto cut = reader.next();
-    BOOST_REQUIRE(!cut.has_value());
-    BOOST_TEST((cut.error() == wire_error::TooLong));
+    const auto oversized = reader.next();
+    BOOST_REQUIRE(!oversized.has_value());
+    BOOST_TEST((oversized.error() == wire_error::TooLong));
     std::string frame = encodeFrame({1}, run_probe {});
     for (std::size_t index = framePrefixBytes; index < frame.size(); ++index) {
         std::string broken = frame;
         broken[index] = static_cast<char>(broken[index] ^ 0x7f);
-        (void)decodePayload(bytesOf(broken).subspan(framePrefixBytes)); // Must not read outside; sanitizers watch.
+        // Must not read outside the frame, which the sanitizers check.
+        (void)decodePayload(bytesOf(broken).subspan(framePrefixBytes));
     }
     BOOST_TEST(!decodePayload({}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(stream_is_cut_into_frames_wherever_it_breaks)
+BOOST_AUTO_TEST_CASE(stream_is_split_into_frames_at_any_chunk_boundary)
 {
     const std::string stream = encodeFrame({1}, run_probe {{{1}, 2, 3}, 4}) + encodeFrame({2}, catalogue_pull {9});
     frame_reader reader;
