--- a/libs/schema/include/schema/schema.h
+++ b/libs/schema/include/schema/schema.h
@@ -2,7 +2,8 @@
 
 /**
  * @file
- * Checks a JSON document against a JSON Schema (draft 7) and tells each problem with path, value and what is allowed.
+ * Validates a JSON document against a JSON Schema (draft 7) and reports each problem with its path, its value and what
+ * is allowed.
  */
 
 #include <nlohmann/json.hpp>
@@ -15,22 +16,22 @@
 
 namespace chivelock {
 
-/** One thing that is wrong with a document. */
+/** One violation of the schema in a document. */
 struct document_problem {
-    std::string path; ///< such as /kinds/0/soft_limit_ms
-    std::string value; ///< what stands there, shortened
-    std::string message; ///< what is allowed
+    std::string path; ///< JSON pointer, such as /kinds/0/soft_limit_ms
+    std::string value; ///< the value at the path, truncated
+    std::string message; ///< what is wrong and what is allowed
 };
 
-/** Why a document was refused; never empty. */
+/** Why a document was rejected; holds at least one problem. */
 struct document_error {
     std::vector<document_problem> problems;
 };
 
-/** All problems on one line, for logs and standard error. */
+/** Formats all problems on one line, for logs and standard error. */
 [[nodiscard]] std::string toString(const document_error &error);
 
-/** @return the document, or each problem found in it. The schema must itself be valid. */
+/** @return the parsed document, or all problems found in it. @pre @p schema is a valid JSON Schema. */
 [[nodiscard]] tl::expected<nlohmann::json, document_error> parseChecked(std::string_view text, std::string_view schema);
 
 } // namespace chivelock
--- a/libs/schema/src/schema.cpp
+++ b/libs/schema/src/schema.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t shownLength = 80;
+constexpr std::size_t maxShownBytes = 80;
 
-/** valijson names a place as "<root>", "[kinds]", "[0]"; a JSON pointer is what people can search for. */
+/** Converts a valijson context ("<root>", "[kinds]", "[0]") to a JSON pointer, which operators can search for. */
 std::string pointerFrom(std::span<const std::string> context)
 {
     std::string pointer;
@@ -27,19 +27,19 @@
     return pointer;
 }
 
-std::string shown(const nlohmann::json &document, const std::string &pointer)
+std::string describeValue(const nlohmann::json &document, const std::string &pointer)
 {
-    const nlohmann::json::json_pointer place(pointer);
-    if (!document.contains(place)) {
+    const nlohmann::json::json_pointer location(pointer);
+    if (!document.contains(location)) {
         return "absent";
     }
-    return document.at(place).dump().substr(0, shownLength);
+    return document.at(location).dump().substr(0, maxShownBytes);
 }
 
-/** The part of the schema that rules a place, so that a refusal can say what is allowed there. */
-std::string allowedAt(const nlohmann::json &schema, std::span<const std::string> context)
+/** Describes the subschema that applies at a location, so that an error message can say what is allowed there. */
+std::string describeRule(const nlohmann::json &schema, std::span<const std::string> context)
 {
-    constexpr std::size_t longestRule = 160;
+    constexpr std::size_t maxRuleBytes = 160;
     const nlohmann::json *rule = &schema;
     for (const std::string &step : context) {
         if (step.size() < 3 || step.front() != '[') {
@@ -62,11 +62,11 @@
         return "; keys allowed: " + names;
     }
     const std::string text = rule->dump();
-    return text.size() <= longestRule ? "; allowed: " + text : "";
+    return text.size() <= maxRuleBytes ? "; allowed: " + text : "";
 }
 
-/** A parent only repeats that a child failed; the child's own line says why. */
-bool onlyRepeatsChild(const std::string &description)
+/** valijson reports a failed child again for its parent; only the problem of the child says why. */
+bool repeatsChildProblem(const std::string &description)
 {
     return description.starts_with("Failed to validate against schema associated with property name")
         || description.starts_with("Failed to validate item");
@@ -78,13 +78,13 @@
     document_error error;
     valijson::ValidationResults::Error found;
     while (results.popError(found)) {
-        if (onlyRepeatsChild(found.description)) {
+        if (repeatsChildProblem(found.description)) {
             continue;
         }
         const std::string pointer = pointerFrom(found.context);
         error.problems.push_back({pointer.empty() ? "/" : pointer,
-                                  shown(document, pointer),
-                                  found.description + allowedAt(schema, found.context)});
+                                  describeValue(document, pointer),
+                                  found.description + describeRule(schema, found.context)});
     }
     if (error.problems.empty()) {
         error.problems.push_back({"/", "", "does not match the schema"});
@@ -110,7 +110,7 @@
 {
     nlohmann::json document = nlohmann::json::parse(text, nullptr, false);
     if (document.is_discarded()) {
-        return tl::unexpected(document_error {{{"/", std::string(text.substr(0, shownLength)), "is not JSON"}}});
+        return tl::unexpected(document_error {{{"/", std::string(text.substr(0, maxShownBytes)), "is not JSON"}}});
     }
     const nlohmann::json schemaDocument = nlohmann::json::parse(schemaText);
     valijson::Schema schema;
--- a/libs/schema/tests/test_schema.cpp
+++ b/libs/schema/tests/test_schema.cpp
@@ -14,14 +14,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(valid_document_is_given_back)
+BOOST_AUTO_TEST_CASE(valid_document_is_returned)
 {
     const auto document = parseChecked(R"({"limit_ms": 5})", schemaText);
     BOOST_REQUIRE(document.has_value());
     BOOST_TEST(document->at("limit_ms") == 5);
 }
 
-BOOST_AUTO_TEST_CASE(problem_names_path_value_and_what_is_allowed)
+BOOST_AUTO_TEST_CASE(problem_reports_path_value_and_rule)
 {
     const auto document = parseChecked(R"({"limit_ms": 61})", schemaText);
     BOOST_REQUIRE(!document.has_value());
@@ -31,7 +31,7 @@
     BOOST_TEST(problem.message.find("\"maximum\":60") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(unknown_key_and_text_that_is_no_json_are_refused)
+BOOST_AUTO_TEST_CASE(unknown_key_and_invalid_json_are_rejected)
 {
     const auto unknown = parseChecked(R"({"limit_ms": 5, "limt": 1})", schemaText);
     BOOST_REQUIRE(!unknown.has_value());
@@ -40,7 +40,7 @@
     BOOST_TEST(!parseChecked("", schemaText).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(place_inside_an_array_is_named)
+BOOST_AUTO_TEST_CASE(problem_inside_an_array_reports_the_index)
 {
     const auto document = parseChecked(R"({"limit_ms": 5, "names": ["a", 7]})", schemaText);
     BOOST_REQUIRE(!document.has_value());
