--- a/libs/metrics/include/metrics/metrics.h
+++ b/libs/metrics/include/metrics/metrics.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * Latency histograms (Boost.Histogram) and counts, written in the Prometheus text format. Used by one thread.
+ * Latency histograms (Boost.Histogram), counters and gauges, written in the Prometheus text format. Not thread-safe.
  */
 
 #include <base/base.h>
@@ -16,7 +16,7 @@
 
 namespace chivelock {
 
-/** What one histogram is about. */
+/** Labels of one latency histogram. */
 struct lookup_labels {
     std::string kind;
     std::string priority;
@@ -24,15 +24,15 @@
     auto operator<=>(const lookup_labels &) const = default;
 };
 
-/** One count or level to be written; the name ends in _total for a count that only rises. */
+/** Value of a counter or gauge to be written. A name that ends in _total marks a counter, which only increases. */
 struct metric_value {
     std::string_view name;
     std::string_view help;
     double value = 0;
-    std::string_view label; ///< value of the label "cause"; empty for none
+    std::string_view label; ///< value of the label "cause"; empty: the metric has no label
 };
 
-/** Counts times in buckets that grow by a constant factor. */
+/** Counts durations in buckets whose width grows by a constant factor. */
 class latency_histogram
 {
 public:
@@ -44,10 +44,11 @@
     void add(millis value);
     [[nodiscard]] std::uint64_t count() const;
 
-    /** @return the upper edge of the bucket that holds the quantile, zero without values. @pre 0 <= share <= 1. */
-    [[nodiscard]] millis quantile(double share) const;
+    /** @return the upper edge of the bucket that contains the quantile, or zero without values.
+     *  @pre 0 <= probability <= 1. */
+    [[nodiscard]] millis quantile(double probability) const;
 
-    /** Upper edge and count of values up to it, for each bucket, for exposition. */
+    /** Upper edge of a bucket and the number of values up to that edge, as the Prometheus text format needs them. */
     struct cumulative_bucket {
         double upperMs;
         std::uint64_t count;
@@ -60,13 +61,13 @@
     std::unique_ptr<storage> m_storage;
 };
 
-/** All histograms of one process. */
+/** All lookup latency histograms of one process. */
 class lookup_metrics
 {
 public:
     void add(const lookup_labels &labels, millis elapsed);
 
-    /** The whole page of /metrics. */
+    /** @return the full text of the /metrics page: the histograms and @p values. */
     [[nodiscard]] std::string write(std::span<const metric_value> values) const;
 
 private:
--- a/libs/metrics/src/metrics.cpp
+++ b/libs/metrics/src/metrics.cpp
@@ -14,8 +14,8 @@
 namespace bh = boost::histogram;
 
 constexpr unsigned bucketCount = 60;
-constexpr double firstEdgeMs = 0.25;
-constexpr double lastEdgeMs = 60000;
+constexpr double lowestEdgeMs = 0.25;
+constexpr double highestEdgeMs = 60000;
 
 using time_axis = bh::axis::regular<double, bh::axis::transform::log>;
 
@@ -33,11 +33,11 @@
 
 prometheus::MetricFamily familyOf(const metric_value &value)
 {
-    const bool isCount = value.name.ends_with("_total");
+    const bool isCounter = value.name.ends_with("_total");
     prometheus::MetricFamily family;
     family.name = value.name;
     family.help = value.help;
-    family.type = isCount ? prometheus::MetricType::Counter : prometheus::MetricType::Gauge;
+    family.type = isCounter ? prometheus::MetricType::Counter : prometheus::MetricType::Gauge;
     return family;
 }
 
@@ -55,8 +55,8 @@
 } // namespace
 
 struct latency_histogram::storage {
-    decltype(bh::make_histogram(time_axis(bucketCount, firstEdgeMs, lastEdgeMs))) counts =
-        bh::make_histogram(time_axis(bucketCount, firstEdgeMs, lastEdgeMs));
+    decltype(bh::make_histogram(time_axis(bucketCount, lowestEdgeMs, highestEdgeMs))) counts =
+        bh::make_histogram(time_axis(bucketCount, lowestEdgeMs, highestEdgeMs));
     std::uint64_t total = 0;
     double sumMs = 0;
 };
@@ -87,26 +87,26 @@
     return m_storage->sumMs;
 }
 
-millis latency_histogram::quantile(double share) const
+millis latency_histogram::quantile(double probability) const
 {
-    require(share >= 0 && share <= 1, "a quantile is between 0 and 1");
-    const double wanted = share * static_cast<double>(m_storage->total);
+    require(probability >= 0 && probability <= 1, "the probability of a quantile must be between 0 and 1");
+    const double targetCount = probability * static_cast<double>(m_storage->total);
     const auto buckets = cumulative();
-    const auto reached = std::ranges::find_if(
-        buckets, [wanted](const cumulative_bucket &bucket) { return static_cast<double>(bucket.count) >= wanted; });
-    return m_storage->total == 0 || reached == buckets.end() ? millis()
-                                                             : millis(std::min(reached->upperMs, lastEdgeMs));
+    const auto found = std::ranges::find_if(buckets, [targetCount](const cumulative_bucket &bucket) {
+        return static_cast<double>(bucket.count) >= targetCount;
+    });
+    return m_storage->total == 0 || found == buckets.end() ? millis() : millis(std::min(found->upperMs, highestEdgeMs));
 }
 
 std::vector<latency_histogram::cumulative_bucket> latency_histogram::cumulative() const
 {
     std::vector<cumulative_bucket> buckets;
-    std::uint64_t below = 0;
+    std::uint64_t countUpToEdge = 0;
     const auto &axis = m_storage->counts.axis();
     for (int index = -1; index <= axis.size(); ++index) {
-        below += static_cast<std::uint64_t>(m_storage->counts.at(index));
+        countUpToEdge += static_cast<std::uint64_t>(m_storage->counts.at(index));
         const bool last = index == axis.size();
-        buckets.push_back({last ? std::numeric_limits<double>::infinity() : axis.value(index + 1), below});
+        buckets.push_back({last ? std::numeric_limits<double>::infinity() : axis.value(index + 1), countUpToEdge});
     }
     return buckets;
 }
--- a/libs/metrics/tests/test_metrics.cpp
+++ b/libs/metrics/tests/test_metrics.cpp
@@ -7,7 +7,7 @@
 
 using namespace chivelock;
 
-BOOST_AUTO_TEST_CASE(quantiles_are_within_a_bucket)
+BOOST_AUTO_TEST_CASE(quantile_error_is_within_one_bucket)
 {
     latency_histogram histogram;
     for (int value = 1; value <= 1000; ++value) {
@@ -20,7 +20,7 @@
     BOOST_TEST(latency_histogram().quantile(0.5).count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(page_has_buckets_labels_and_causes)
+BOOST_AUTO_TEST_CASE(page_contains_buckets_labels_and_causes)
 {
     lookup_metrics metrics;
     metrics.add({"recipes", "urgent", "whole"}, millis(5));
