--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -111,7 +111,7 @@
         request.remaining = m_what.hardLimit;
         const std::size_t entry = m_random.below(m_what.entries);
         request.requestId = returned ? "returned" : "first";
-        request.cameBack = returned;
+        request.honouredRetryAfter = returned;
         m_fleet.ask(entry, request);
     }
 
--- a/libs/policy/include/policy/policy.h
+++ b/libs/policy/include/policy/policy.h
@@ -432,7 +432,7 @@
         shard_ref shardRef;
         snapshot_id snapshot;
         urgency priority = urgency::Ordinary;
-        bool cameBack = false;
+        bool honouredRetryAfter = false;
         std::uint32_t maxRows = 0;
         std::shared_ptr<const std::string> body;
         millis deadline;
--- a/libs/policy/src/runner_engine.cpp
+++ b/libs/policy/src/runner_engine.cpp
@@ -69,7 +69,7 @@
         entry.shardRef = {run.service, run.version, shard};
         entry.snapshot = run.snapshot;
         entry.priority = run.priority;
-        entry.cameBack = run.cameBack;
+        entry.honouredRetryAfter = run.honouredRetryAfter;
         entry.maxRows = run.maxRows;
         entry.body = run.body;
         entry.deadline = now + run.remaining;
--- a/libs/policy/src/runner_queue.cpp
+++ b/libs/policy/src/runner_queue.cpp
@@ -16,7 +16,7 @@
         endTask(id, replyFor(stored, shard_status::NoLeaf), now, out);
         return;
     }
-    shard->recentScheduledRetries += stored.cameBack ? 1 : 0;
+    shard->recentScheduledRetries += stored.honouredRetryAfter ? 1 : 0;
     const millis service = serviceOf(shardRef.service).times.mean(m_settings.initialServiceTime);
     const millis acceptable = (deadline - now - service) * m_settings.maxQueueWaitShare;
     const millis wait = predictedWait(*shard, stored, acceptable, now);
@@ -160,7 +160,8 @@
     if (m_settings.urgentFirst && entry.priority == urgency::Urgent) {
         return queue_rank::Urgent;
     }
-    return m_settings.scheduledRetriesFirst && entry.cameBack ? queue_rank::ScheduledRetry : queue_rank::Ordinary;
+    return m_settings.scheduledRetriesFirst && entry.honouredRetryAfter ? queue_rank::ScheduledRetry
+                                                                        : queue_rank::Ordinary;
 }
 
 runner_engine::queue_view runner_engine::queueOf(shard_state &shard, queue_rank rank)
--- a/libs/policy/tests/test_policy.cpp
+++ b/libs/policy/tests/test_policy.cpp
@@ -30,11 +30,11 @@
     void run(std::uint64_t sequence,
              urgency priority = urgency::Ordinary,
              millis remaining = millis(1000),
-             bool cameBack = false)
+             bool honouredRetryAfter = false)
     {
         run_shards message;
         message.requestId = "r" + std::to_string(sequence);
-        message.cameBack = cameBack;
+        message.honouredRetryAfter = honouredRetryAfter;
         message.key = {{1}, 1, sequence};
         message.attempt = 1;
         message.service = {"s"};
--- a/libs/query/include/query/query.h
+++ b/libs/query/include/query/query.h
@@ -37,7 +37,7 @@
     std::string body;
     millis remaining; ///< time left until the caller's own limit; capped by the hard limit of the kind
     std::string ticket; ///< for non-idempotent kinds; empty if the caller has none yet
-    bool cameBack = false; ///< the request was refused before and is retried after the given Retry-After time
+    bool honouredRetryAfter = false; ///< the request was refused before and is retried after the given Retry-After time
 };
 
 /** Limits and timeouts of the root. The measurements behind the defaults are in docs/design/. */
--- a/libs/query/src/root_engine.cpp
+++ b/libs/query/src/root_engine.cpp
@@ -310,7 +310,7 @@
     run.remaining = entry.deadline - now;
     run.maxRows = entry.kind.maxRows;
     run.body = entry.body;
-    run.cameBack = entry.request.cameBack;
+    run.honouredRetryAfter = entry.request.honouredRetryAfter;
     run.shards.assign(shards.begin(), shards.end());
     out.emplace_back(peer_send {runner, std::move(run)});
 }
--- a/libs/wire/include/wire/wire.h
+++ b/libs/wire/include/wire/wire.h
@@ -86,7 +86,7 @@
     std::uint32_t maxRows = 0;
     std::shared_ptr<const std::string> body;
     std::vector<shard_id> shards;
-    bool cameBack = false; ///< retried after the given Retry-After time: is queued ahead of new ordinary work
+    bool honouredRetryAfter = false; ///< retried after the given Retry-After time: is queued ahead of new ordinary work
 };
 
 /** Runner to root: the runner is responsive and has accepted this attempt. */
--- a/libs/wire/src/decode.cpp
+++ b/libs/wire/src/decode.cpp
@@ -95,7 +95,7 @@
     message.maxRows = from.max_rows();
     message.body = std::make_shared<std::string>(textOf(from.body()));
     message.shards = idsOf<shard_id>(from.shards());
-    message.cameBack = from.came_back();
+    message.honouredRetryAfter = from.came_back();
     return message;
 }
 
--- a/libs/wire/src/encode.cpp
+++ b/libs/wire/src/encode.cpp
@@ -119,7 +119,7 @@
                                      message.maxRows,
                                      body,
                                      shards,
-                                     message.cameBack)
+                                     message.honouredRetryAfter)
             .Union();
     }
 
--- a/programs/chivelockd/caller_http.cpp
+++ b/programs/chivelockd/caller_http.cpp
@@ -200,7 +200,7 @@
                                                         : generateRequestId(m_settings);
     lookup.shardKey = document->value("key", "");
     lookup.ticket = document->value("ticket", "");
-    lookup.cameBack = document->value("came_back", false);
+    lookup.honouredRetryAfter = document->value("came_back", false);
     lookup.remaining = millis(document->value("time_limit_ms", maxTimeLimitMs));
     lookup.body = document->value("query", nlohmann::json()).dump();
     const std::string requestId = lookup.requestId;
