--- a/standin/config_server.cpp
+++ b/standin/config_server.cpp
@@ -28,7 +28,7 @@
     config_server *m_server;
 };
 
-std::uint64_t numberIn(const http::Request &request, const std::string &key)
+std::uint64_t readNumber(const http::Request &request, const std::string &key)
 {
     const auto value = request.query().get(key);
     return value ? std::stoull(*value) : 0;
@@ -39,7 +39,7 @@
     try {
         writer->send(code, body);
     } catch (const std::exception &) {
-        // The one who asked has gone.
+        // The client has disconnected; the reply is dropped.
     }
 }
 
@@ -63,7 +63,7 @@
     const std::lock_guard lock(m_mutex);
     const json parsed = json::parse(text, nullptr, false);
     const std::uint64_t revision = parsed.is_object() ? parsed.value("revision", std::uint64_t {0}) : 0;
-    // A publication that can't be read still counts as a newer one: the platform checks nothing.
+    // The platform does not validate publications, so an unreadable one also gets a newer revision.
     m_documents[name] = {text, std::max(revision, m_documents[name].revision + (revision == 0 ? 1 : 0))};
     answerWatchers();
 }
@@ -82,23 +82,23 @@
 {
     const std::lock_guard lock(m_mutex);
     m_mode = mode;
-    m_frozen = m_documents;
+    m_staleDocuments = m_documents;
 }
 
 void config_server::handle(const http::Request &request, http::ResponseWriter response)
 {
     const auto writer = std::make_shared<http::ResponseWriter>(std::move(response));
     const std::string &resource = request.resource();
-    constexpr std::string_view configs = "/v1/config/";
-    constexpr std::string_view controls = "/v1/control/";
-    if (resource.starts_with(configs) && request.method() == http::Method::Get) {
-        handleRead(request, resource.substr(configs.size()), writer);
-    } else if (resource.starts_with(configs)) {
-        publish(resource.substr(configs.size()), request.body());
+    constexpr std::string_view configPrefix = "/v1/config/";
+    constexpr std::string_view controlPrefix = "/v1/control/";
+    if (resource.starts_with(configPrefix) && request.method() == http::Method::Get) {
+        handleRead(request, resource.substr(configPrefix.size()), writer);
+    } else if (resource.starts_with(configPrefix)) {
+        publish(resource.substr(configPrefix.size()), request.body());
         send(writer, http::Code::Ok, "{}");
-    } else if (resource.starts_with(controls)) {
+    } else if (resource.starts_with(controlPrefix)) {
         const json body = request.body().empty() ? json::object() : json::parse(request.body());
-        json reply = m_control(resource.substr(controls.size()), body);
+        json reply = m_control(resource.substr(controlPrefix.size()), body);
         const std::lock_guard lock(m_mutex);
         reply["config_reads"] = m_reads;
         send(writer, http::Code::Ok, reply.dump());
@@ -116,8 +116,8 @@
         return;
     }
     const std::uint64_t id = m_nextWatch++;
-    m_watchers.push_back({id, name, numberIn(request, "after"), writer});
-    m_timers.after(millis(static_cast<double>(numberIn(request, "wait_ms"))), [this, id] { expireWatch(id); });
+    m_watchers.push_back({id, name, readNumber(request, "after"), writer});
+    m_timers.after(millis(static_cast<double>(readNumber(request, "wait_ms"))), [this, id] { expireWatch(id); });
     answerWatchers();
 }
 
@@ -133,12 +133,12 @@
 
 void config_server::answerWatchers()
 {
-    const std::map<std::string, document> &told = m_mode == "stale" ? m_frozen : m_documents;
-    std::erase_if(m_watchers, [&told](const watcher &waiting) {
-        const auto found = told.find(waiting.name);
-        const bool newer = found != told.end() && found->second.revision > waiting.after;
+    const std::map<std::string, document> &served = m_mode == "stale" ? m_staleDocuments : m_documents;
+    std::erase_if(m_watchers, [&served](const watcher &pending) {
+        const auto found = served.find(pending.name);
+        const bool newer = found != served.end() && found->second.revision > pending.after;
         if (newer) {
-            send(waiting.writer, http::Code::Ok, found->second.text);
+            send(pending.writer, http::Code::Ok, found->second.text);
         }
         return newer;
     });
--- a/standin/config_server.h
+++ b/standin/config_server.h
@@ -14,11 +14,11 @@
 
 namespace chivelock::standin {
 
-/** The platform's configuration service: documents that are read and watched, and the switch for all faults. */
+/** Stand-in for the platform's configuration service: serves reads and watches of documents, and the fault controls. */
 class config_server
 {
 public:
-    using control_handler = std::function<nlohmann::json(const std::string &what, const nlohmann::json &body)>;
+    using control_handler = std::function<nlohmann::json(const std::string &command, const nlohmann::json &body)>;
 
     config_server(timer_thread &timers, control_handler control);
     ~config_server();
@@ -28,10 +28,10 @@
     void publish(const std::string &name, const std::string &text);
     void serve(const std::string &address, std::uint16_t port);
 
-    /** "up", "down" (every read fails) or "stale" (reads give what was published before). */
+    /** @param mode "up", "down" (every read fails) or "stale" (reads return the documents as of this call). */
     void setMode(const std::string &mode);
 
-    /** Called by the HTTP thread. */
+    /** Called on an HTTP thread. */
     void handle(const Pistache::Http::Request &request, Pistache::Http::ResponseWriter response);
 
 private:
@@ -58,7 +58,7 @@
     std::unique_ptr<Pistache::Http::Endpoint> m_endpoint;
     std::mutex m_mutex;
     std::map<std::string, document> m_documents;
-    std::map<std::string, document> m_frozen; ///< what is told while stale
+    std::map<std::string, document> m_staleDocuments; ///< served in stale mode
     std::string m_mode = "up";
     std::vector<watcher> m_watchers;
     std::uint64_t m_nextWatch = 1;
--- a/standin/leaf_server.cpp
+++ b/standin/leaf_server.cpp
@@ -10,7 +10,7 @@
 namespace http = Pistache::Http;
 using nlohmann::json;
 
-constexpr std::size_t queueCapacity = 8; ///< beyond its slots; more is shed
+constexpr std::size_t queueCapacity = 8; ///< waiting requests besides the running ones; further ones are rejected
 constexpr int okStatus = 200;
 constexpr int conflictStatus = 409;
 constexpr int goneStatus = 410;
@@ -38,9 +38,9 @@
 
 } // namespace
 
-leaf_server::leaf_server(options chosen, leaf_world &world)
+leaf_server::leaf_server(options chosen, shared_leaf_state &shared)
     : m_options(std::move(chosen))
-    , m_world(world)
+    , m_shared(shared)
 {
 }
 
@@ -63,9 +63,9 @@
 void leaf_server::setFaults(const leaf_faults &faults)
 {
     const std::lock_guard lock(m_mutex);
-    const bool leaves = faults.leaving || faults.silentLeaving;
-    const bool left = m_faults.leaving || m_faults.silentLeaving;
-    if (leaves && !left) {
+    const bool isLeaving = faults.leaving || faults.leavingInHealthOnly;
+    const bool wasLeaving = m_faults.leaving || m_faults.leavingInHealthOnly;
+    if (isLeaving && !wasLeaving) {
         m_leavingSince = m_clock.now();
     }
     m_faults = faults;
@@ -81,8 +81,9 @@
 json leaf_server::counters()
 {
     const std::lock_guard lock(m_mutex);
-    const bool leaves = m_leavingSince < millis::never();
-    const double newWorkAfter = leaves && m_lastNewWork > m_leavingSince ? (m_lastNewWork - m_leavingSince).count() : 0;
+    const bool isLeaving = m_leavingSince < millis::never();
+    const double newWorkAfter =
+        isLeaving && m_lastNewWork > m_leavingSince ? (m_lastNewWork - m_leavingSince).count() : 0;
     return {{"leaf", m_options.id},
             {"received", m_received},
             {"completed", m_completed},
@@ -96,16 +97,16 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto writer = std::make_shared<http::ResponseWriter>(std::move(response));
-    if (m_faults.dead) {
-        return; // Never answered; the connection stays open, as with a frozen process.
+    if (m_faults.unresponsive) {
+        return; // Never answers but keeps the connection open, like a paused process.
     }
-    constexpr std::string_view requests = "/v1/requests/";
+    constexpr std::string_view requestsPrefix = "/v1/requests/";
     if (request.resource() == "/v1/search") {
         handleSearch(request.body(), writer);
     } else if (request.resource() == "/v1/health") {
         handleHealth(writer);
-    } else if (request.resource().starts_with(requests)) {
-        handleCancel(request.resource().substr(requests.size()), writer);
+    } else if (request.resource().starts_with(requestsPrefix)) {
+        handleCancel(request.resource().substr(requestsPrefix.size()), writer);
     }
 }
 
@@ -120,9 +121,9 @@
         return;
     }
     m_lastNewWork = m_clock.now();
-    const std::uint32_t held = m_options.snapshot + m_faults.snapshotOffset;
-    if (request.at("snapshot") != held || request.at("map_version") != m_options.mapVersion) {
-        reply["held_snapshot"] = held;
+    const std::uint32_t heldSnapshot = m_options.snapshot + m_faults.snapshotOffset;
+    if (request.at("snapshot") != heldSnapshot || request.at("map_version") != m_options.mapVersion) {
+        reply["held_snapshot"] = heldSnapshot;
         send(writer, conflictStatus, reply);
         return;
     }
@@ -140,9 +141,9 @@
 
 void leaf_server::handleHealth(const writer_ptr &writer)
 {
-    const bool leaves = m_faults.leaving || m_faults.silentLeaving;
+    const bool isLeaving = m_faults.leaving || m_faults.leavingInHealthOnly;
     std::string state = m_faults.cold ? "cold" : "serving";
-    if (leaves && !m_faults.healthLies) {
+    if (isLeaving && !m_faults.hidesLeavingInHealth) {
         state = "leaving";
     }
     send(writer, okStatus, {{"state", state}, {"incarnation", 1}, {"load", 0.5}});
@@ -170,13 +171,13 @@
         search &next = m_searches.at(name);
         next.running = true;
         ++m_running;
-        const double serviceMs = drawServiceMs();
+        const double serviceMs = sampleServiceMs();
         m_busyMs += serviceMs;
         {
-            const std::lock_guard lock(m_world.mutex);
-            ++m_world.runs[next.request.value("request_id", "")];
+            const std::lock_guard lock(m_shared.mutex);
+            ++m_shared.runs[next.request.value("request_id", "")];
         }
-        m_world.timers.after(millis(serviceMs), [this, name] { finish(name); });
+        m_shared.timers.after(millis(serviceMs), [this, name] { finish(name); });
     }
 }
 
@@ -185,7 +186,7 @@
     const std::lock_guard lock(m_mutex);
     const auto found = m_searches.find(name);
     if (found == m_searches.end()) {
-        return; // Cancelled meanwhile.
+        return; // The request was cancelled in the meantime.
     }
     json reply = baseReply(found->second.request);
     const auto shard = found->second.request.at("shard").get<std::uint32_t>();
@@ -198,20 +199,20 @@
     m_searches.erase(found);
     --m_running;
     ++m_completed;
-    if (!m_faults.dead) {
+    if (!m_faults.unresponsive) {
         send(writer, okStatus, reply);
     }
     startNext();
 }
 
-double leaf_server::drawServiceMs()
+double leaf_server::sampleServiceMs()
 {
-    const std::lock_guard lock(m_world.mutex);
-    const service_times &times = m_world.times;
-    const double exponential = -times.exponentialMs * std::log(1 - m_world.random.uniform());
-    const bool straggles = m_world.random.uniform() < times.stragglerShare;
-    const double cold = m_faults.cold ? 4 : 1;
-    return (times.baseMs + exponential) * (straggles ? times.stragglerFactor : 1) * m_faults.slowFactor * cold;
+    const std::lock_guard lock(m_shared.mutex);
+    const service_times &times = m_shared.times;
+    const double exponential = -times.exponentialMs * std::log(1 - m_shared.random.uniform());
+    const bool isStraggler = m_shared.random.uniform() < times.stragglerShare;
+    const double coldFactor = m_faults.cold ? 4 : 1;
+    return (times.baseMs + exponential) * (isStraggler ? times.stragglerFactor : 1) * m_faults.slowFactor * coldFactor;
 }
 
 json leaf_server::baseReply(const json &request) const
@@ -228,7 +229,7 @@
     try {
         writer->send(static_cast<http::Code>(status), body.dump());
     } catch (const std::exception &) {
-        // The one who asked has gone.
+        // The client has disconnected; the reply is dropped.
     }
 }
 
--- a/standin/leaf_server.h
+++ b/standin/leaf_server.h
@@ -15,19 +15,19 @@
 
 namespace chivelock::standin {
 
-/** How a leaf behaves; switched over HTTP. */
+/** Simulated faults of a leaf; set over HTTP. */
 struct leaf_faults {
-    bool leaving = false; ///< refuses new work with 410
-    bool silentLeaving = false; ///< takes work although it leaves, and says so only in its health
-    bool healthLies = false; ///< health says "serving" whatever is true
-    bool shed = false;
-    bool dead = false; ///< answers nothing
-    bool cold = false;
+    bool leaving = false; ///< rejects new work with 410
+    bool leavingInHealthOnly = false; ///< leaving, but still accepts work; only the health report shows it
+    bool hidesLeavingInHealth = false; ///< never reports "leaving" in its health
+    bool shed = false; ///< rejects new work with 503
+    bool unresponsive = false; ///< never answers
+    bool cold = false; ///< has a cold cache: takes longer for each request
     double slowFactor = 1;
-    std::uint32_t snapshotOffset = 0; ///< holds another snapshot than published
+    std::uint32_t snapshotOffset = 0; ///< offset of the held snapshot from the published one
 };
 
-/** Service times: a base, an exponential part, and a share of requests that take ten times as long. */
+/** Service times: a base plus an exponential part; a share of stragglers takes a multiple of that. */
 struct service_times {
     double baseMs = 2;
     double exponentialMs = 8;
@@ -35,16 +35,16 @@
     double stragglerFactor = 10;
 };
 
-/** What leafs have in common. */
-struct leaf_world {
+/** State that all leafs share. */
+struct shared_leaf_state {
     timer_thread timers;
     service_times times;
     std::mutex mutex;
     seeded_random random {1};
-    std::map<std::string, std::uint64_t> runs; ///< by request id: how often a leaf has run it, all shards together
+    std::map<std::string, std::uint64_t> runs; ///< number of runs of each request id, over all shards
 };
 
-/** One leaf of a service: slots, a short queue, a snapshot, and faults. */
+/** Stand-in for one leaf of a service, with slots, a short queue, a snapshot and simulated faults. */
 class leaf_server
 {
 public:
@@ -57,7 +57,7 @@
         std::uint32_t mapVersion = 1;
     };
 
-    leaf_server(options chosen, leaf_world &world);
+    leaf_server(options chosen, shared_leaf_state &shared);
     ~leaf_server();
     leaf_server(const leaf_server &) = delete;
     leaf_server &operator=(const leaf_server &) = delete;
@@ -67,7 +67,7 @@
     void setSnapshot(std::uint32_t snapshot, std::uint32_t mapVersion);
     [[nodiscard]] nlohmann::json counters();
 
-    /** Called by the HTTP thread. */
+    /** Called on the HTTP thread. */
     void handle(const Pistache::Http::Request &request, Pistache::Http::ResponseWriter response);
 
 private:
@@ -84,12 +84,12 @@
     void handleCancel(const std::string &name, const writer_ptr &writer);
     void startNext();
     void finish(const std::string &name);
-    [[nodiscard]] double drawServiceMs();
+    [[nodiscard]] double sampleServiceMs();
     [[nodiscard]] nlohmann::json baseReply(const nlohmann::json &request) const;
     void send(const writer_ptr &writer, int status, const nlohmann::json &body) const;
 
     options m_options;
-    leaf_world &m_world;
+    shared_leaf_state &m_shared;
     std::unique_ptr<Pistache::Http::Endpoint> m_endpoint;
     std::recursive_mutex m_mutex;
     leaf_faults m_faults;
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -1,7 +1,7 @@
 /**
  * @file
- * Test-only stand-in for what surrounds the system: leafs, the configuration service with the VM list, and the switch
- * for their faults. It is not shipped.
+ * Test-only stand-in for the environment of the system: leafs, the configuration service with the VM list, and the
+ * controls for their simulated faults. It is not shipped.
  */
 
 #include "config_server.h"
@@ -26,14 +26,14 @@
 {
     std::ifstream file(path);
     if (!file) {
-        throw std::runtime_error("can't read " + path);
+        throw std::runtime_error("standin: can't read " + path);
     }
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
 }
 
-/** All leafs of one topology, and what the control interface does with them. */
+/** All leafs of one topology, and the control commands for them. */
 class leaf_fleet
 {
 public:
@@ -46,20 +46,20 @@
         }
     }
 
-    json control(const std::string &what, const json &body)
+    json control(const std::string &command, const json &body)
     {
-        if (what == "faults") {
+        if (command == "faults") {
             return setFaults(body);
         }
-        if (what == "snapshot") {
-            forChosen(body, [&body](standin::leaf_server &leaf) {
+        if (command == "snapshot") {
+            forSelectedLeafs(body, [&body](standin::leaf_server &leaf) {
                 leaf.setSnapshot(body.at("snapshot"), body.at("map_version"));
             });
         }
-        if (what == "times") {
+        if (command == "times") {
             setTimes(body);
         }
-        return what == "runs" ? runs() : counters();
+        return command == "runs" ? runs() : counters();
     }
 
 private:
@@ -71,13 +71,13 @@
         auto leaf = std::make_unique<standin::leaf_server>(
             standin::leaf_server::options {
                 info.id.value, info.address, info.port, info.slots, service.snapshot.value, service.version.value},
-            m_world);
+            m_shared);
         leaf->serve();
         m_leafs.emplace(info.id.value, std::move(leaf));
     }
 
     template<typename visitor>
-    void forChosen(const json &body, visitor &&visit)
+    void forSelectedLeafs(const json &body, visitor &&visit)
     {
         for (const auto &[id, leaf] : m_leafs) {
             if (!body.contains("leaf") || body.at("leaf") == id) {
@@ -90,24 +90,24 @@
     {
         standin::leaf_faults faults;
         faults.leaving = body.value("leaving", false);
-        faults.silentLeaving = body.value("silent_leaving", false);
-        faults.healthLies = body.value("health_lies", false);
+        faults.leavingInHealthOnly = body.value("silent_leaving", false);
+        faults.hidesLeavingInHealth = body.value("health_lies", false);
         faults.shed = body.value("shed", false);
-        faults.dead = body.value("dead", false);
+        faults.unresponsive = body.value("dead", false);
         faults.cold = body.value("cold", false);
         faults.slowFactor = body.value("slow_factor", 1.0);
         faults.snapshotOffset = body.value("snapshot_offset", 0U);
-        forChosen(body, [&faults](standin::leaf_server &leaf) { leaf.setFaults(faults); });
+        forSelectedLeafs(body, [&faults](standin::leaf_server &leaf) { leaf.setFaults(faults); });
         return json::object();
     }
 
     void setTimes(const json &body)
     {
-        const std::lock_guard lock(m_world.mutex);
-        m_world.times.baseMs = body.value("base_ms", m_world.times.baseMs);
-        m_world.times.exponentialMs = body.value("exponential_ms", m_world.times.exponentialMs);
-        m_world.times.stragglerShare = body.value("straggler_share", m_world.times.stragglerShare);
-        m_world.times.stragglerFactor = body.value("straggler_factor", m_world.times.stragglerFactor);
+        const std::lock_guard lock(m_shared.mutex);
+        m_shared.times.baseMs = body.value("base_ms", m_shared.times.baseMs);
+        m_shared.times.exponentialMs = body.value("exponential_ms", m_shared.times.exponentialMs);
+        m_shared.times.stragglerShare = body.value("straggler_share", m_shared.times.stragglerShare);
+        m_shared.times.stragglerFactor = body.value("straggler_factor", m_shared.times.stragglerFactor);
     }
 
     json counters()
@@ -121,11 +121,11 @@
 
     json runs()
     {
-        const std::lock_guard lock(m_world.mutex);
-        return {{"runs", m_world.runs}};
+        const std::lock_guard lock(m_shared.mutex);
+        return {{"runs", m_shared.runs}};
     }
 
-    standin::leaf_world m_world;
+    standin::shared_leaf_state m_shared;
     std::map<std::uint32_t, std::unique_ptr<standin::leaf_server>> m_leafs;
 };
 
@@ -156,15 +156,15 @@
     leaf_fleet leafs;
     leafs.serve(*topology);
     standin::timer_thread timers;
-    standin::config_server *self = nullptr;
-    standin::config_server config(timers, [&](const std::string &what, const json &body) {
-        if (what == "config") {
-            self->setMode(body.at("mode"));
+    standin::config_server *configServer = nullptr;
+    standin::config_server config(timers, [&](const std::string &command, const json &body) {
+        if (command == "config") {
+            configServer->setMode(body.at("mode"));
             return json::object();
         }
-        return leafs.control(what, body);
+        return leafs.control(command, body);
     });
-    self = &config;
+    configServer = &config;
     config.publish("topology", topologyText);
     config.publish("vms", readFile(vmsPath.getValue()));
     config.publish("catalogue", readFile(cataloguePath.getValue()));
--- a/standin/timer_thread.cpp
+++ b/standin/timer_thread.cpp
@@ -13,7 +13,7 @@
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_end = true;
+        m_stopping = true;
     }
     m_changed.notify_all();
     m_thread.join();
@@ -29,7 +29,7 @@
 void timer_thread::run()
 {
     std::unique_lock lock(m_mutex);
-    while (!m_end) {
+    while (!m_stopping) {
         if (m_tasks.empty()) {
             m_changed.wait(lock);
             continue;
--- a/standin/timer_thread.h
+++ b/standin/timer_thread.h
@@ -10,7 +10,7 @@
 
 namespace chivelock::standin {
 
-/** Runs tasks at their time on one thread. */
+/** Runs delayed tasks on one thread of its own. */
 class timer_thread
 {
 public:
@@ -28,7 +28,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::multimap<millis, std::function<void()>> m_tasks;
-    bool m_end = false;
+    bool m_stopping = false;
     std::thread m_thread;
 };
 
