--- a/bench/experiment.cpp
+++ b/bench/experiment.cpp
@@ -38,7 +38,7 @@
     return json {{"revision", 1}, {"kinds", {kind("urgent"), kind("ordinary")}}}.dump();
 }
 
-fakes::service_draw drawOf(const service_model &service)
+fakes::service_time_sampler drawOf(const service_model &service)
 {
     return [service](seeded_random &random) {
         const double exponential = -service.exponentialMs * std::log(1 - random.uniform());
--- a/fakes/documents.cpp
+++ b/fakes/documents.cpp
@@ -9,19 +9,19 @@
 using nlohmann::json;
 
 std::string topologyText(std::uint64_t revision,
-                         const std::vector<service_sizes> &services,
+                         const std::vector<service_spec> &services,
                          const std::vector<std::uint32_t> &leaving)
 {
     json document = {{"revision", revision}, {"services", json::array()}, {"leafs", json::array()}};
     std::uint32_t next = 0;
-    for (const service_sizes &sizes : services) {
+    for (const service_spec &sizes : services) {
         json service = {{"name", sizes.name},
                         {"snapshot", sizes.snapshot},
                         {"map_version", sizes.version},
                         {"shards", json::array()}};
         for (std::uint32_t shard = 0; shard < sizes.shards; ++shard) {
             json ids = json::array();
-            for (std::uint32_t replica = 0; replica < sizes.leafsEach; ++replica) {
+            for (std::uint32_t replica = 0; replica < sizes.leafsPerShard; ++replica) {
                 ids.push_back(next);
                 document["leafs"].push_back({{"id", next},
                                              {"address", "127.0.0.1"},
--- a/fakes/fake_fleet.cpp
+++ b/fakes/fake_fleet.cpp
@@ -6,9 +6,11 @@
 
 namespace {
 
-constexpr millis platformPoll {500};
-constexpr millis platformDelay {2};
-constexpr millis silentEnd {100}; ///< after its deadline a silent leaf counts as failed, as in the daemon
+constexpr millis platformPollInterval {500};
+constexpr millis platformWatchDelay {2};
+
+/** As in the daemon, a call without a reply has failed when this time has passed after its deadline. */
+constexpr millis replyTimeoutPastDeadline {100};
 
 vm_id vmOf(std::size_t entry)
 {
@@ -30,7 +32,7 @@
                    {platform_name::Catalogue, m_options.catalogue}}
 {
     const auto topology = readTopology(m_options.topology);
-    require(topology.has_value(), "the fake fleet needs a valid topology");
+    require(topology.has_value(), "the fake fleet needs a valid topology document");
     for (const leaf_info &info : topology->leafs) {
         m_leafs.emplace(
             info.id,
@@ -51,14 +53,14 @@
 {
     const std::size_t caller = m_callers.size();
     request.caller = caller;
-    m_callers.push_back({entry, m_nodes.at(entry).start, request, m_time.now(), std::nullopt, {}, false});
+    m_callers.push_back({entry, m_nodes.at(entry).incarnation, request, m_time.now(), std::nullopt, {}, false});
     if (!isUp(entry)) {
         m_callers.back().connectionLost = true;
         return caller;
     }
     const millis arrived = m_time.now();
     deliver(entry,
-            m_nodes.at(entry).start,
+            m_nodes.at(entry).incarnation,
             [request, arrived](entry_core &core, millis now, entry_core::actions &out) mutable {
                 request.remaining = request.remaining - (now - arrived);
                 core.onLookup(request, now, out);
@@ -74,18 +76,19 @@
     }
     killed.core.reset();
     killed.frozen = false;
-    killed.unread.clear();
-    killed.unsent.clear();
+    killed.pendingInputs.clear();
+    killed.heldActions.clear();
     killed.openCalls.clear();
     for (caller_record &caller : m_callers) {
         caller.connectionLost = caller.connectionLost
-            || (caller.entry == entry && caller.entryStart == killed.start && caller.answers.empty());
+            || (caller.entry == entry && caller.entryIncarnation == killed.incarnation && caller.answers.empty());
     }
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
-        // The system resets its connections, so the others hear of it at once unless the network is cut.
+        // The operating system resets the connections of a killed process, so its peers notice after one network delay
+        // unless the network is cut.
         if (other != entry && isUp(other) && !m_cuts.contains({entry, other})) {
-            m_time.after(m_options.hop, [this, other, entry, start = m_nodes[other].start] {
-                deliver(other, start, [entry](entry_core &core, millis now, entry_core::actions &out) {
+            m_time.after(m_options.hop, [this, other, entry, incarnation = m_nodes[other].incarnation] {
+                deliver(other, incarnation, [entry](entry_core &core, millis now, entry_core::actions &out) {
                     core.onPeerUnreachable(vmOf(entry), now, out);
                 });
             });
@@ -96,13 +99,13 @@
 void fake_fleet::startEntry(std::size_t entry)
 {
     node &started = m_nodes.at(entry);
-    const std::uint64_t start = started.start + 1;
+    const std::uint64_t incarnation = started.incarnation + 1;
     started = node();
-    started.start = start;
+    started.incarnation = incarnation;
     entry_settings settings = m_options.entry;
     settings.self = vmOf(entry);
-    settings.incarnation = start;
-    settings.seed = m_options.seed * 1000 + entry * 10 + start;
+    settings.incarnation = incarnation;
+    settings.seed = m_options.seed * 1000 + entry * 10 + incarnation;
     settings.ticketKey = "secret-" + std::to_string(settings.seed);
     started.core = std::make_unique<entry_core>(settings);
     readPlatform(entry);
@@ -121,18 +124,18 @@
         return;
     }
     woken.frozen = false;
-    // First what was decided before the sleep and not yet sent, then what arrived meanwhile: the order that tempts
-    // most.
-    carryOut(entry, std::exchange(woken.unsent, {}));
-    const std::vector<input> unread = std::exchange(woken.unread, {});
-    std::ranges::for_each(unread, [&](const input &event) { deliver(entry, woken.start, event); });
+    // Carries out the actions that were decided before the pause first, then handles the input that arrived during it.
+    // This order is the most likely to send outdated requests.
+    executeActions(entry, std::exchange(woken.heldActions, {}));
+    const std::vector<input> pendingInputs = std::exchange(woken.pendingInputs, {});
+    std::ranges::for_each(pendingInputs, [&](const input &event) { deliver(entry, woken.incarnation, event); });
     scheduleTick(entry);
 }
 
 void fake_fleet::stopEntry(std::size_t entry)
 {
     if (isUp(entry)) {
-        deliver(entry, m_nodes.at(entry).start, [](entry_core &core, millis now, entry_core::actions &out) {
+        deliver(entry, m_nodes.at(entry).incarnation, [](entry_core &core, millis now, entry_core::actions &out) {
             core.beginStop(now, out);
         });
     }
@@ -152,8 +155,8 @@
     m_documents[name] = text;
     if (m_platformUp) {
         for (std::size_t entry = 0; entry < m_nodes.size(); ++entry) {
-            // Watches end at different times; the first readers are ahead of the others.
-            const millis delay = platformDelay * static_cast<double>(entry + 1);
+            // Entries receive a change at different times, as with separate watch requests to the platform.
+            const millis delay = platformWatchDelay * static_cast<double>(entry + 1);
             m_time.after(delay, [this, entry] {
                 if (m_platformUp && isUp(entry)) {
                     readPlatform(entry);
@@ -167,7 +170,7 @@
 {
     m_platformUp = up;
     for (std::size_t entry = 0; up && entry < m_nodes.size(); ++entry) {
-        m_time.after(platformPoll, [this, entry] {
+        m_time.after(platformPollInterval, [this, entry] {
             if (m_platformUp && isUp(entry)) {
                 readPlatform(entry);
             }
@@ -178,15 +181,15 @@
 void fake_fleet::readPlatform(std::size_t entry)
 {
     if (!m_platformUp) {
-        m_time.after(platformPoll, [this, entry, start = m_nodes.at(entry).start] {
-            if (isUp(entry) && m_nodes.at(entry).start == start) {
+        m_time.after(platformPollInterval, [this, entry, incarnation = m_nodes.at(entry).incarnation] {
+            if (isUp(entry) && m_nodes.at(entry).incarnation == incarnation) {
                 readPlatform(entry);
             }
         });
         return;
     }
     deliver(entry,
-            m_nodes.at(entry).start,
+            m_nodes.at(entry).incarnation,
             [documents = m_documents](entry_core &core, millis now, entry_core::actions &out) {
                 core.onVmListText(documents.at(platform_name::VmList), now, out);
                 core.onTopologyText(documents.at(platform_name::Topology), now, out);
@@ -194,34 +197,34 @@
             });
 }
 
-void fake_fleet::deliver(std::size_t entry, std::uint64_t start, input event)
+void fake_fleet::deliver(std::size_t entry, std::uint64_t incarnation, input event)
 {
     node &target = m_nodes.at(entry);
-    if (target.core == nullptr || target.start != start) {
+    if (target.core == nullptr || target.incarnation != incarnation) {
         return;
     }
     if (target.frozen) {
-        target.unread.push_back(std::move(event));
+        target.pendingInputs.push_back(std::move(event));
         return;
     }
     entry_core::actions actions;
     event(*target.core, m_time.now(), actions);
     const std::uint64_t revision = target.core->catalogue().current()->revision;
-    m_fallenRevisions += revision < target.highestRevision ? 1 : 0;
+    m_revisionRegressions += revision < target.highestRevision ? 1 : 0;
     target.highestRevision = std::max(target.highestRevision, revision);
     ++m_steps;
     if (onStep) {
-        onStep(); // May freeze this entry now: its actions are then held back until it wakes.
+        onStep(); // This callback may freeze the entry; its actions are then held back until the entry wakes.
     }
-    node &after = m_nodes.at(entry);
-    if (after.core == nullptr || after.start != start) {
+    node &current = m_nodes.at(entry);
+    if (current.core == nullptr || current.incarnation != incarnation) {
         return;
     }
-    if (after.frozen) {
-        std::ranges::move(actions, std::back_inserter(after.unsent));
+    if (current.frozen) {
+        std::ranges::move(actions, std::back_inserter(current.heldActions));
         return;
     }
-    carryOut(entry, actions);
+    executeActions(entry, actions);
     scheduleTick(entry);
 }
 
@@ -237,19 +240,21 @@
     }
     target.tickAt = wanted;
     const std::uint64_t serial = ++target.tickSerial;
-    m_time.at(wanted, [this, entry, serial, start = target.start] {
+    m_time.at(wanted, [this, entry, serial, incarnation = target.incarnation] {
         node &due = m_nodes.at(entry);
-        if (due.start != start || due.tickSerial != serial) {
+        if (due.incarnation != incarnation || due.tickSerial != serial) {
             return;
         }
         due.tickAt = millis::never();
         if (!due.frozen) {
-            deliver(entry, start, [](entry_core &core, millis now, entry_core::actions &out) { core.tick(now, out); });
+            deliver(entry, incarnation, [](entry_core &core, millis now, entry_core::actions &out) {
+                core.tick(now, out);
+            });
         }
     });
 }
 
-/** Carries out each action on the fakes. */
+/** Carries out one action of an entry on the fakes. */
 struct fake_fleet::action_handler {
     fake_fleet &fleet;
     std::size_t entry;
@@ -261,7 +266,7 @@
 
     void operator()(const caller_answer &action) const
     {
-        fleet.takeAnswer(entry, action);
+        fleet.recordAnswer(entry, action);
     }
 
     void operator()(const leaf_call &action) const
@@ -293,7 +298,7 @@
     }
 };
 
-void fake_fleet::carryOut(std::size_t entry, const entry_core::actions &actions)
+void fake_fleet::executeActions(std::size_t entry, const entry_core::actions &actions)
 {
     for (const entry_action &action : actions) {
         std::visit(action_handler {*this, entry}, action);
@@ -305,12 +310,12 @@
     ++m_peerMessages;
     const std::size_t to = entryOf(send.to);
     if (to >= m_nodes.size() || m_cuts.contains({from, to})) {
-        return; // Lost without a word, as in a cut network.
+        return; // The frame is lost and the sender gets no error, as in a partitioned network.
     }
     if (!isUp(to)) {
-        const std::uint64_t start = m_nodes.at(from).start;
-        m_time.after(m_options.hop * 2, [this, from, to, start] {
-            deliver(from, start, [to](entry_core &core, millis now, entry_core::actions &out) {
+        const std::uint64_t incarnation = m_nodes.at(from).incarnation;
+        m_time.after(m_options.hop * 2, [this, from, to, incarnation] {
+            deliver(from, incarnation, [to](entry_core &core, millis now, entry_core::actions &out) {
                 core.onPeerUnreachable(vmOf(to), now, out);
             });
         });
@@ -324,58 +329,59 @@
         envelope = *decodePayload(bytes.subspan(framePrefixBytes));
     }
     const auto shared = std::make_shared<const peer_envelope>(std::move(envelope));
-    const auto arrive = [this, to, start = m_nodes.at(to).start, shared] {
-        deliver(to, start, [shared](entry_core &core, millis now, entry_core::actions &out) {
+    const auto arrive = [this, to, incarnation = m_nodes.at(to).incarnation, shared] {
+        deliver(to, incarnation, [shared](entry_core &core, millis now, entry_core::actions &out) {
             core.onPeer(*shared, now, out);
         });
     };
-    constexpr millis doubledAfter {3};
-    constexpr double longestExtraMs = 5;
-    const millis extra(disorder.late ? m_random.uniform() * longestExtraMs : 0);
-    m_time.after(m_options.hop + extra, arrive);
-    if (disorder.doubled) {
-        m_time.after(m_options.hop + doubledAfter, arrive);
+    constexpr millis duplicateDelay {3};
+    constexpr double maxExtraDelayMs = 5;
+    const millis extraDelay(networkFaults.reorderFrames ? m_random.uniform() * maxExtraDelayMs : 0);
+    m_time.after(m_options.hop + extraDelay, arrive);
+    if (networkFaults.duplicateFrames) {
+        m_time.after(m_options.hop + duplicateDelay, arrive);
     }
 }
 
 void fake_fleet::sendCall(std::size_t entry, const leaf_call &call)
 {
-    const std::uint64_t start = m_nodes.at(entry).start;
+    const std::uint64_t incarnation = m_nodes.at(entry).incarnation;
     if (m_options.checkNotAfter && m_time.now() > call.notAfter) {
-        leaf_reply unsent;
-        unsent.id = call.id;
-        unsent.shard = call.shard;
-        unsent.status = call_status::NotSent;
-        m_time.after(millis(), [this, entry, start, unsent] {
-            deliver(entry, start, [unsent](entry_core &core, millis now, entry_core::actions &out) {
-                core.onLeafReply(unsent, now, out);
+        leaf_reply notSent;
+        notSent.id = call.id;
+        notSent.shard = call.shard;
+        notSent.status = call_status::NotSent;
+        m_time.after(millis(), [this, entry, incarnation, notSent] {
+            deliver(entry, incarnation, [notSent](entry_core &core, millis now, entry_core::actions &out) {
+                core.onLeafReply(notSent, now, out);
             });
         });
         return;
     }
     const std::uint64_t serial = m_nextSerial++;
     m_nodes.at(entry).openCalls[call.id] = serial;
-    m_time.after(m_options.hop, [this, entry, start, call, serial] {
-        leaf(call.leaf).receive({serial, call, [this, entry, start](leaf_reply reply) {
-                                     m_time.after(m_options.hop, [this, entry, start, reply = std::move(reply)] {
-                                         endCall(entry, start, reply);
+    m_time.after(m_options.hop, [this, entry, incarnation, call, serial] {
+        leaf(call.leaf).receive({serial, call, [this, entry, incarnation](leaf_reply reply) {
+                                     m_time.after(m_options.hop, [this, entry, incarnation, reply = std::move(reply)] {
+                                         completeCall(entry, incarnation, reply);
                                      });
                                  }});
     });
-    leaf_reply silent;
-    silent.id = call.id;
-    silent.shard = call.shard;
-    silent.status = call_status::Failed;
-    m_time.at(call.deadline + silentEnd, [this, entry, start, silent] { endCall(entry, start, silent); });
+    leaf_reply timeoutReply;
+    timeoutReply.id = call.id;
+    timeoutReply.shard = call.shard;
+    timeoutReply.status = call_status::Failed;
+    m_time.at(call.deadline + replyTimeoutPastDeadline,
+              [this, entry, incarnation, timeoutReply] { completeCall(entry, incarnation, timeoutReply); });
 }
 
-void fake_fleet::endCall(std::size_t entry, std::uint64_t start, leaf_reply reply)
+void fake_fleet::completeCall(std::size_t entry, std::uint64_t incarnation, leaf_reply reply)
 {
     node &target = m_nodes.at(entry);
-    if (target.core == nullptr || target.start != start || target.openCalls.erase(reply.id) == 0) {
+    if (target.core == nullptr || target.incarnation != incarnation || target.openCalls.erase(reply.id) == 0) {
         return;
     }
-    deliver(entry, start, [reply = std::move(reply)](entry_core &core, millis now, entry_core::actions &out) {
+    deliver(entry, incarnation, [reply = std::move(reply)](entry_core &core, millis now, entry_core::actions &out) {
         core.onLeafReply(reply, now, out);
     });
 }
@@ -390,22 +396,22 @@
 
 void fake_fleet::sendProbe(std::size_t entry, const leaf_probe &probe)
 {
-    const std::uint64_t start = m_nodes.at(entry).start;
-    m_time.after(m_options.hop, [this, entry, start, probe] {
+    const std::uint64_t incarnation = m_nodes.at(entry).incarnation;
+    m_time.after(m_options.hop, [this, entry, incarnation, probe] {
         health_report report = leaf(probe.leaf).health();
         report.askedAt = probe.askedAt;
-        m_time.after(m_options.hop, [this, entry, start, report] {
-            deliver(entry, start, [report](entry_core &core, millis now, entry_core::actions &out) {
+        m_time.after(m_options.hop, [this, entry, incarnation, report] {
+            deliver(entry, incarnation, [report](entry_core &core, millis now, entry_core::actions &out) {
                 core.onHealth(report, now, out);
             });
         });
     });
 }
 
-void fake_fleet::takeAnswer(std::size_t entry, const caller_answer &answer)
+void fake_fleet::recordAnswer(std::size_t entry, const caller_answer &answer)
 {
     caller_record &caller = m_callers.at(answer.caller);
-    require(caller.entry == entry, "an answer goes to the caller of its own entry");
+    require(caller.entry == entry, "an entry answered a caller that is connected to another entry");
     caller.answers.push_back(answer.answer);
     caller.answeredAt = m_time.now();
     if (onAnswer) {
--- a/fakes/fake_fleet.h
+++ b/fakes/fake_fleet.h
@@ -14,7 +14,7 @@
 
 namespace chivelock::fakes {
 
-/** The platform's documents. */
+/** The documents that the platform publishes. */
 enum class platform_name : std::uint8_t {
     VmList,
     Topology,
@@ -23,27 +23,27 @@
 
 struct fleet_options {
     std::size_t entries = 3;
-    entry_settings entry; ///< self, incarnation and seed are set for each
-    std::string topology; ///< text as published
+    entry_settings entry; ///< template for all entries; self, incarnation, seed and ticketKey are set for each
+    std::string topology; ///< document text as the platform publishes it, like the next two
     std::string vms;
     std::string catalogue;
-    millis hop {0.5}; ///< one way, between any two
-    service_draw draw = [](seeded_random &) { return millis(5); };
+    millis hop {0.5}; ///< one-way network delay between any two processes
+    service_time_sampler draw = [](seeded_random &) { return millis(5); };
     std::uint64_t seed = 1;
-    bool throughCodec = false; ///< peer messages pass the real codec
-    bool checkNotAfter = true; ///< false leaves out the guard against sends decided before a sleep
+    bool throughCodec = false; ///< peer messages are encoded and decoded by the real codec
+    bool checkNotAfter = true; ///< false sends calls that a process pause has delayed beyond their notAfter time
 };
 
-/** What the network between entries does to frames. */
-struct network_disorder {
-    bool doubled = false; ///< each frame arrives twice
-    bool late = false; ///< frames overtake each other
+/** Faults of the network between entries. */
+struct network_faults {
+    bool duplicateFrames = false; ///< each frame arrives twice
+    bool reorderFrames = false; ///< random extra delays let frames overtake each other
 };
 
-/** What one caller got. */
+/** One caller's request and the answers it received. */
 struct caller_record {
     std::size_t entry = 0;
-    std::uint64_t entryStart = 0; ///< which start of that entry it asked
+    std::uint64_t entryIncarnation = 0; ///< incarnation of the entry that received the request
     lookup_request request;
     millis askedAt;
     std::optional<millis> answeredAt;
@@ -52,8 +52,8 @@
 };
 
 /**
- * Real decision cores joined by fakes in virtual time: network, leafs, platform, callers. Tests bring about faults and
- * then read what leafs and callers saw.
+ * Runs real decision cores in virtual time, connected by a fake network, fake leafs, a fake platform and fake callers.
+ * Tests inject faults and then inspect what leafs executed and callers received.
  */
 class fake_fleet
 {
@@ -65,18 +65,18 @@
         return m_time;
     }
 
-    /** Events handled so far: the steps at which faults are placed. */
+    /** Number of events that entries have handled so far. Tests inject faults at a given step. */
     [[nodiscard]] std::uint64_t steps() const
     {
         return m_steps;
     }
 
-    network_disorder disorder;
+    network_faults networkFaults;
 
     /** Called after each step. */
     std::function<void()> onStep;
 
-    /** Called with each answer. */
+    /** Called when a caller receives an answer. */
     std::function<void(const caller_record &)> onAnswer;
 
     std::size_t ask(std::size_t entry, lookup_request request);
@@ -126,10 +126,10 @@
         return m_ledger;
     }
 
-    /** Revisions that fell at some entry while it ran; must stay 0. */
-    [[nodiscard]] std::uint64_t fallenRevisions() const
+    /** Number of events after which a running entry held a lower catalogue revision than before; must stay 0. */
+    [[nodiscard]] std::uint64_t revisionRegressions() const
     {
-        return m_fallenRevisions;
+        return m_revisionRegressions;
     }
 
     [[nodiscard]] std::uint64_t peerMessages() const
@@ -148,28 +148,28 @@
 
     struct node {
         std::unique_ptr<entry_core> core;
-        std::uint64_t start = 0; ///< counts starts of this VM
+        std::uint64_t incarnation = 0; ///< increases with each start of this VM's process
         bool frozen = false;
         bool ended = false;
-        std::vector<input> unread;
-        entry_core::actions unsent;
+        std::vector<input> pendingInputs;
+        entry_core::actions heldActions;
         millis tickAt = millis::never();
         std::uint64_t tickSerial = 0;
-        std::map<call_id, std::uint64_t> openCalls; ///< to serials
+        std::map<call_id, std::uint64_t> openCalls; ///< serial number of each call that has no reply yet
         std::uint64_t highestRevision = 0;
     };
 
     struct action_handler;
 
-    void deliver(std::size_t entry, std::uint64_t start, input event);
-    void carryOut(std::size_t entry, const entry_core::actions &actions);
+    void deliver(std::size_t entry, std::uint64_t incarnation, input event);
+    void executeActions(std::size_t entry, const entry_core::actions &actions);
     void scheduleTick(std::size_t entry);
     void sendPeer(std::size_t from, const peer_send &send);
     void sendCall(std::size_t entry, const leaf_call &call);
-    void endCall(std::size_t entry, std::uint64_t start, leaf_reply reply);
+    void completeCall(std::size_t entry, std::uint64_t incarnation, leaf_reply reply);
     void sendCancel(std::size_t entry, const leaf_cancel &cancel);
     void sendProbe(std::size_t entry, const leaf_probe &probe);
-    void takeAnswer(std::size_t entry, const caller_answer &answer);
+    void recordAnswer(std::size_t entry, const caller_answer &answer);
     void readPlatform(std::size_t entry);
 
     fleet_options m_options;
@@ -184,7 +184,7 @@
     bool m_platformUp = true;
     std::uint64_t m_steps = 0;
     std::uint64_t m_nextSerial = 1;
-    std::uint64_t m_fallenRevisions = 0;
+    std::uint64_t m_revisionRegressions = 0;
     std::uint64_t m_peerMessages = 0;
     std::uint64_t m_peerBytes = 0;
 };
--- a/fakes/fake_leaf.cpp
+++ b/fakes/fake_leaf.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::size_t queueCapacity = 8; ///< beyond the slots; more is shed
-constexpr double coldFactor = 4;
+constexpr std::size_t queueCapacity = 8; ///< requests waiting for a slot; further ones are shed
+constexpr double coldServiceTimeFactor = 4;
 
 } // namespace
 
@@ -18,10 +18,10 @@
         return;
     }
     if (m_faults.frozen) {
-        m_unread.push_back(std::move(request));
+        m_receivedWhileFrozen.push_back(std::move(request));
         return;
     }
-    if (m_faults.refusesLeaving) {
+    if (m_faults.refusesAsLeaving) {
         refuse(request, call_status::Leaving);
         return;
     }
@@ -30,7 +30,7 @@
     }
     const bool holds =
         std::ranges::find(m_held, request.call.snapshot) != m_held.end() && m_version == request.call.version;
-    if (!holds && !m_faults.answersOther) {
+    if (!holds && !m_faults.answersFromNewestSnapshot) {
         refuse(request, call_status::SnapshotGone);
         return;
     }
@@ -67,7 +67,7 @@
     health_report report;
     report.leaf = m_info.id;
     report.reachable = !m_faults.dead && !m_faults.frozen;
-    report.leaving = m_leaving && !m_faults.healthSilent;
+    report.leaving = m_leaving && !m_faults.healthHidesLeaving;
     report.cold = m_faults.cold;
     report.serving = !report.leaving && !report.cold;
     report.incarnation = m_info.incarnation;
@@ -76,14 +76,14 @@
 
 void fake_leaf::setFaults(const faults &wanted)
 {
-    const bool wakes = m_faults.frozen && !wanted.frozen;
+    const bool resumes = m_faults.frozen && !wanted.frozen;
     m_faults = wanted;
     if (wanted.dead) {
         kill();
     }
-    if (wakes) {
-        std::deque<leaf_request> unread = std::exchange(m_unread, {});
-        std::ranges::for_each(unread, [this](leaf_request &request) { receive(std::move(request)); });
+    if (resumes) {
+        std::deque<leaf_request> received = std::exchange(m_receivedWhileFrozen, {});
+        std::ranges::for_each(received, [this](leaf_request &request) { receive(std::move(request)); });
         startNext();
     }
 }
@@ -100,7 +100,7 @@
     std::ranges::for_each(m_queue, [this](const leaf_request &request) { refuse(request, call_status::Failed); });
     m_running.clear();
     m_queue.clear();
-    m_unread.clear();
+    m_receivedWhileFrozen.clear();
 }
 
 void fake_leaf::startNext()
@@ -108,13 +108,13 @@
     while (m_running.size() < m_info.slots && !m_queue.empty() && !m_faults.frozen) {
         leaf_request request = std::move(m_queue.front());
         m_queue.pop_front();
-        const millis takes = m_draw(m_random) * m_faults.slowFactor * (m_faults.cold ? coldFactor : 1);
-        m_busy = m_busy + takes;
+        const millis serviceTime = m_draw(m_random) * m_faults.slowFactor * (m_faults.cold ? coldServiceTimeFactor : 1);
+        m_busy = m_busy + serviceTime;
         const std::uint64_t serial = request.serial;
         const std::string &body = request.call.body ? *request.call.body : request.call.requestId;
         m_ledger[body].push_back({m_info.id, request.call.shard, request.call.snapshot, m_time.now()});
-        m_running.emplace(serial, running_request {std::move(request), m_time.now(), takes});
-        m_time.after(takes, [this, serial] { finish(serial); });
+        m_running.emplace(serial, running_request {std::move(request), m_time.now(), serviceTime});
+        m_time.after(serviceTime, [this, serial] { finish(serial); });
     }
 }
 
@@ -122,17 +122,17 @@
 {
     const auto found = m_running.find(serial);
     if (found == m_running.end()) {
-        return; // Cancelled or killed meanwhile.
+        return; // The request was cancelled, or the leaf was killed, before it finished.
     }
     if (m_faults.frozen) {
-        constexpr millis later {5};
-        m_time.after(later, [this, serial] { finish(serial); });
+        constexpr millis recheckDelay {5};
+        m_time.after(recheckDelay, [this, serial] { finish(serial); });
         return;
     }
     const leaf_request request = std::move(found->second.request);
     m_running.erase(found);
     leaf_reply reply = baseReply(request, call_status::Ok);
-    if (m_faults.answersOther) {
+    if (m_faults.answersFromNewestSnapshot) {
         reply.snapshot = m_held.back();
     }
     const std::string body = request.call.body ? *request.call.body : std::string();
--- a/fakes/fake_leaf.h
+++ b/fakes/fake_leaf.h
@@ -13,7 +13,7 @@
 
 namespace chivelock::fakes {
 
-/** One run of a request at a leaf, as the leaf saw it. */
+/** One execution of a request, as recorded by the leaf that ran it. */
 struct execution {
     leaf_id leaf;
     shard_id shard;
@@ -21,35 +21,36 @@
     millis at;
 };
 
-/** What all leafs saw, by the request's body: the truth that answers are checked against. */
+/** Executions on all leafs, keyed by request body. Tests check answers against this record. */
 using execution_ledger = std::map<std::string, std::vector<execution>>;
 
-/** Time that one request takes. */
-using service_draw = std::function<millis(seeded_random &)>;
+/** Returns a random service time for one request. */
+using service_time_sampler = std::function<millis(seeded_random &)>;
 
-/** A request as it reaches a leaf, and the way back. */
+/** A request as a leaf receives it, with the callback for its reply. */
 struct leaf_request {
-    std::uint64_t serial = 0; ///< unique over all processes
+    std::uint64_t serial = 0; ///< unique across all entries of the fleet
     leaf_call call;
     std::function<void(leaf_reply)> reply;
 };
 
-/** A target in virtual time: slots, a short queue, snapshots, and faults that tests switch. */
+/** Simulates a target in virtual time: slots, a short queue, snapshots, and faults that tests turn on and off. */
 class fake_leaf
 {
 public:
     struct faults {
         bool dead = false; ///< refuses connections
-        bool frozen = false; ///< takes bytes, does nothing
+        bool frozen = false; ///< accepts connections and bytes but processes nothing
         bool shed = false;
         bool cold = false;
-        bool refusesLeaving = false; ///< answers new work with "leaving"
-        bool healthSilent = false; ///< its health never says that it leaves
-        bool answersOther = false; ///< answers from its newest snapshot whatever was asked
+        bool refusesAsLeaving = false; ///< rejects new work with the status Leaving
+        bool healthHidesLeaving = false; ///< its health reports never show that it is leaving
+        bool answersFromNewestSnapshot = false; ///< answers from its newest snapshot instead of the requested one
         double slowFactor = 1;
     };
 
-    fake_leaf(virtual_time &time, leaf_info info, execution_ledger &ledger, service_draw draw, std::uint64_t seed)
+    fake_leaf(
+        virtual_time &time, leaf_info info, execution_ledger &ledger, service_time_sampler draw, std::uint64_t seed)
         : m_time(time)
         , m_info(std::move(info))
         , m_ledger(ledger)
@@ -75,7 +76,7 @@
     void setFaults(const faults &wanted);
     void startLeaving();
 
-    /** Ends everything in hand as a killed process does: its connections break. */
+    /** Fails all running and queued requests, as when the process is killed and its connections break. */
     void kill();
 
     [[nodiscard]] const faults &current() const
@@ -83,12 +84,13 @@
         return m_faults;
     }
 
-    /** Time from the start of leaving to the last new work that was sent here; zero if none. */
+    /** Time from the start of leaving to the last new request that this leaf received; zero if there was none. */
     [[nodiscard]] millis newWorkAfterLeaving() const
     {
         return m_newWorkAfterLeaving;
     }
 
+    /** Total slot time spent on requests. */
     [[nodiscard]] millis busy() const
     {
         return m_busy;
@@ -114,13 +116,13 @@
     virtual_time &m_time;
     leaf_info m_info;
     execution_ledger &m_ledger;
-    service_draw m_draw;
+    service_time_sampler m_draw;
     seeded_random m_random;
     faults m_faults;
     std::vector<snapshot_id> m_held;
     map_version m_version;
     std::deque<leaf_request> m_queue;
-    std::deque<leaf_request> m_unread; ///< arrived while frozen
+    std::deque<leaf_request> m_receivedWhileFrozen; ///< requests that arrived while the leaf was frozen
     std::map<std::uint64_t, running_request> m_running;
     bool m_leaving = false;
     millis m_leavingSince;
--- a/fakes/promises.cpp
+++ b/fakes/promises.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr millis leavingBound {3000};
+constexpr millis maxNewWorkAfterLeaving {3000};
 constexpr millis answerGrace {50};
 
-/** One caller's answers against the ledger. */
+/** Checks the answers to one caller against the recorded executions. */
 class answer_check
 {
 public:
@@ -25,7 +25,7 @@
     {
         checkCount();
         for (const lookup_answer &answer : m_caller.answers) {
-            checkOwn(answer);
+            checkRequestId(answer);
             checkCoverage(answer);
             checkRows(answer);
             checkNotRun(answer);
@@ -54,7 +54,7 @@
         }
     }
 
-    void checkOwn(const lookup_answer &answer)
+    void checkRequestId(const lookup_answer &answer)
     {
         if (answer.requestId != m_caller.request.requestId) {
             report("own answer", "got that of " + answer.requestId);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Rows are "body/shard/snapshot", as the leaf that ran it wrote them. */
+    /** Each row id is "body/shard/snapshot", written by the leaf that ran the request. */
     void checkRows(const lookup_answer &answer)
     {
         const bool answered = answer.outcome == lookup_outcome::Whole || answer.outcome == lookup_outcome::Partial;
@@ -132,14 +132,14 @@
         }
     }
     for (const auto &[id, leaf] : fleet.leafs()) {
-        if (leaf->newWorkAfterLeaving() > leavingBound) {
+        if (leaf->newWorkAfterLeaving() > maxNewWorkAfterLeaving) {
             found.push_back(
                 {"leaving targets",
                  "new work " + std::to_string(leaf->newWorkAfterLeaving().count()) + " ms after the start"});
         }
     }
-    if (fleet.fallenRevisions() > 0) {
-        found.push_back({"catalogue never back", std::to_string(fleet.fallenRevisions()) + " falls"});
+    if (fleet.revisionRegressions() > 0) {
+        found.push_back({"catalogue never back", std::to_string(fleet.revisionRegressions()) + " falls"});
     }
     return found;
 }
--- a/fakes/scenarios.cpp
+++ b/fakes/scenarios.cpp
@@ -13,9 +13,9 @@
 constexpr std::uint32_t shardCount = 4;
 constexpr std::uint32_t deskFirstLeaf = shardCount * 2;
 constexpr millis warmUp {1500};
-constexpr millis balancerLag {500};
-constexpr millis healAfterShort {120};
-constexpr millis healAfterLong {3500}; ///< longer than a leaving target may still get work
+constexpr millis balancerDelay {500};
+constexpr millis shortFaultDuration {120};
+constexpr millis longFaultDuration {3500}; ///< longer than the time for which a leaving target may still receive work
 
 std::string searchTopology(std::uint64_t revision,
                            std::uint32_t shards,
@@ -24,12 +24,12 @@
                            const std::vector<std::uint32_t> &leaving)
 {
     // Twelve shards' worth of leafs exist from the start, so that a later map can use more of them.
-    std::vector<service_sizes> services = {{"search", shardCount, 2, 2, snapshot, version}, {"desk", 2, 2, 2, 1, 1}};
+    std::vector<service_spec> services = {{"search", shardCount, 2, 2, snapshot, version}, {"desk", 2, 2, 2, 1, 1}};
     services[0].shards = shards;
     return topologyText(revision, services, leaving);
 }
 
-fleet_options optionsFor(guard leftOut, std::uint64_t seed)
+fleet_options optionsFor(guard disabledGuard, std::uint64_t seed)
 {
     fleet_options options;
     options.entries = entryCount;
@@ -39,33 +39,34 @@
     options.seed = seed;
     options.throughCodec = true;
     options.draw = [](seeded_random &random) { return millis(4 + 8 * random.uniform()); };
-    // Against leafs that answer what they were asked, the attempt check and the snapshot check cover for each other.
-    options.entry.guards.checkSnapshot = leftOut != guard::Snapshot && leftOut != guard::Attempt;
-    options.entry.runner.checkReplies = leftOut != guard::Snapshot;
-    options.entry.guards.checkAttempt = leftOut != guard::Attempt;
-    options.entry.guards.dropDuplicates = leftOut != guard::Doubled;
-    options.checkNotAfter = leftOut != guard::NotAfter;
-    options.entry.tickets.checkIssuer = leftOut != guard::TicketIssuer;
-    options.entry.refuseOlderCatalogue = leftOut != guard::NeverBack;
-    if (leftOut == guard::FreshSigns) {
+    // With leafs that answer from the requested snapshot, the attempt check or the snapshot check alone prevents the
+    // violation. The case without the attempt check therefore also disables the snapshot check of the root.
+    options.entry.guards.checkSnapshot = disabledGuard != guard::SnapshotCheck && disabledGuard != guard::AttemptCheck;
+    options.entry.runner.checkReplies = disabledGuard != guard::SnapshotCheck;
+    options.entry.guards.checkAttempt = disabledGuard != guard::AttemptCheck;
+    options.entry.guards.dropDuplicates = disabledGuard != guard::DuplicateCheck;
+    options.checkNotAfter = disabledGuard != guard::SendTimeCheck;
+    options.entry.tickets.checkIssuer = disabledGuard != guard::TicketIssuerCheck;
+    options.entry.refuseOlderCatalogue = disabledGuard != guard::RevisionCheck;
+    if (disabledGuard == guard::HealthFreshness) {
         options.entry.runner.maxHealthAge = millis(100000);
         options.entry.runner.probeInterval = millis(100000);
     }
-    if (leftOut == guard::Notice) {
+    if (disabledGuard == guard::StopNotice) {
         options.entry.lameDuck = millis();
         options.entry.stopLimit = millis();
     }
     return options;
 }
 
-/** One run: a scenario's actions and the placed faults. */
+/** Runs the actions of one scenario and injects the faults of one case. */
 class case_run
 {
 public:
-    case_run(scenario chosen, std::vector<placed_fault> faults, guard leftOut, std::uint64_t seed)
+    case_run(scenario chosen, std::vector<placed_fault> faults, guard disabledGuard, std::uint64_t seed)
         : m_scenario(chosen)
         , m_faults(std::move(faults))
-        , m_fleet(optionsFor(leftOut, seed))
+        , m_fleet(optionsFor(disabledGuard, seed))
     {
     }
 
@@ -74,11 +75,11 @@
         m_fleet.time().runUntil(m_fleet.time().now() + warmUp);
         m_firstStep = m_fleet.steps();
         m_start = m_fleet.time().now();
-        m_fleet.onStep = [this] { placeFaults(); };
-        placeFaults();
-        act();
+        m_fleet.onStep = [this] { injectDueFaults(); };
+        injectDueFaults();
+        runScenario();
         case_result result;
-        result.steps = m_busySteps == 0 ? m_fleet.steps() - m_firstStep : m_busySteps;
+        result.steps = m_faultWindowSteps == 0 ? m_fleet.steps() - m_firstStep : m_faultWindowSteps;
         result.violations = checkPromises(m_fleet);
         checkConvergence(result.violations);
         checkStop(result.violations);
@@ -86,63 +87,64 @@
     }
 
 private:
-    void act()
+    void runScenario()
     {
         switch (m_scenario) {
         case scenario::Lookups:
-            askEverywhere(millis(), 3, millis(7));
-            finishAt(millis(1500));
+            scheduleLookupsOnAllEntries(millis(), 3, millis(7));
+            runToEnd(millis(1500));
             break;
         case scenario::Ticket:
-            useTickets();
-            finishAt(millis(4000));
+            scheduleTicketRetries();
+            runToEnd(millis(4000));
             break;
         case scenario::Change:
-            later(millis(), [this] { publishCatalogue(2); });
-            later(millis(30), [this] { publishCatalogue(3); });
-            askEverywhere(millis(), 3, millis(20));
-            finishAt(millis(5000));
+            schedule(millis(), [this] { publishCatalogue(2); });
+            schedule(millis(30), [this] { publishCatalogue(3); });
+            scheduleLookupsOnAllEntries(millis(), 3, millis(20));
+            runToEnd(millis(5000));
             break;
         case scenario::Leaving:
-            later(millis(), [this] { m_fleet.leaf({0}).startLeaving(); });
-            askEverywhere(millis(), 60, millis(100));
-            finishAt(millis(7500));
+            schedule(millis(), [this] { m_fleet.leaf({0}).startLeaving(); });
+            scheduleLookupsOnAllEntries(millis(), 60, millis(100));
+            runToEnd(millis(7500));
             break;
         case scenario::Stop:
-            later(millis(5), [this] { stop(1); });
-            askEverywhere(millis(), 30, millis(10));
-            finishAt(millis(4000));
+            schedule(millis(5), [this] { stop(1); });
+            scheduleLookupsOnAllEntries(millis(), 30, millis(10));
+            runToEnd(millis(4000));
             break;
         case scenario::Split:
-            askEverywhere(millis(), 6, millis(9));
-            later(millis(12), [this] { split(); });
-            finishAt(millis(2500));
+            scheduleLookupsOnAllEntries(millis(), 6, millis(9));
+            schedule(millis(12), [this] { split(); });
+            runToEnd(millis(2500));
             break;
         }
     }
 
-    void finishAt(millis offset)
+    void runToEnd(millis offset)
     {
         constexpr millis faultWindow {200};
         m_fleet.time().runUntil(m_start + std::min(faultWindow, offset));
-        m_busySteps = m_fleet.steps() - m_firstStep;
-        m_fleet.time().runUntil(m_start + offset + healAfterLong);
+        m_faultWindowSteps = m_fleet.steps() - m_firstStep;
+        m_fleet.time().runUntil(m_start + offset + longFaultDuration);
     }
 
-    void later(millis offset, std::function<void()> action)
+    void schedule(millis offset, std::function<void()> action)
     {
         m_fleet.time().at(m_start + offset, std::move(action));
     }
 
-    void askEverywhere(millis from, std::size_t rounds, millis pause)
+    void scheduleLookupsOnAllEntries(millis from, std::size_t rounds, millis pause)
     {
         for (std::size_t round = 0; round < rounds; ++round) {
-            later(from + pause * static_cast<double>(round), [this, round] {
+            schedule(from + pause * static_cast<double>(round), [this, round] {
                 for (std::size_t entry = 0; entry < entryCount; ++entry) {
-                    // The balancer sends nothing to an entry that has said for a while that it is not ready.
-                    const bool stopping = m_stopped == entry;
-                    const bool balancerKnows = stopping && m_fleet.time().now() - m_stoppedAt > balancerLag;
-                    if (!balancerKnows && (stopping || m_fleet.isUp(entry))) {
+                    // The load balancer sends no requests to an entry that has reported itself not ready for
+                    // balancerDelay.
+                    const bool stopping = m_stoppedEntry == entry;
+                    const bool balancerHasNoticed = stopping && m_fleet.time().now() - m_stoppedAt > balancerDelay;
+                    if (!balancerHasNoticed && (stopping || m_fleet.isUp(entry))) {
                         ask(entry, round % 2 == 0 ? "whole" : "partial", "", "");
                     }
                 }
@@ -162,7 +164,7 @@
         return m_fleet.ask(entry, request);
     }
 
-    void useTickets()
+    void scheduleTicketRetries()
     {
         for (std::size_t index = 0; index < 2; ++index) {
             const std::string tag = "claim-" + std::to_string(index);
@@ -174,11 +176,11 @@
                     ask(entry, "claim", asked.answers.front().ticket, tag);
                 }
             };
-            later(millis(3), [retry, issuer] { retry(issuer); });
-            later(millis(5), [retry, issuer] { retry((issuer + 1) % entryCount); });
-            later(millis(30), [retry, issuer] { retry((issuer + 2) % entryCount); });
-            later(millis(450), [retry, issuer] { retry((issuer + 1) % entryCount); });
-            later(millis(2000), [retry, issuer] { retry(issuer); });
+            schedule(millis(3), [retry, issuer] { retry(issuer); });
+            schedule(millis(5), [retry, issuer] { retry((issuer + 1) % entryCount); });
+            schedule(millis(30), [retry, issuer] { retry((issuer + 2) % entryCount); });
+            schedule(millis(450), [retry, issuer] { retry((issuer + 1) % entryCount); });
+            schedule(millis(2000), [retry, issuer] { retry(issuer); });
         }
     }
 
@@ -190,14 +192,14 @@
 
     void stop(std::size_t entry)
     {
-        m_stopped = entry;
+        m_stoppedEntry = entry;
         m_stoppedAt = m_fleet.time().now();
         m_fleet.stopEntry(entry);
     }
 
     void split()
     {
-        // Half of the replicas move first; the map is published then; the others follow.
+        // Half of the replicas load the new snapshot before the topology is published, the others 15 ms after it.
         const auto move = [this](std::uint32_t parity) {
             for (std::uint32_t id = 0; id < deskFirstLeaf; ++id) {
                 if (id % 2 == parity) {
@@ -208,21 +210,21 @@
         };
         move(0);
         m_fleet.publish(platform_name::Topology, searchTopology(2, shardCount, 2, 1, {}));
-        later(m_fleet.time().now() - m_start + millis(15), [move] { move(1); });
+        schedule(m_fleet.time().now() - m_start + millis(15), [move] { move(1); });
     }
 
-    void placeFaults()
+    void injectDueFaults()
     {
         const std::uint64_t step = m_fleet.steps() - m_firstStep;
         for (placed_fault &placed : m_faults) {
             if (placed.what != fault::None && step >= placed.step) {
                 const fault what = std::exchange(placed.what, fault::None);
-                bring(what);
+                injectFault(what);
             }
         }
     }
 
-    void heal(millis after, std::function<void()> action)
+    void scheduleAfter(millis after, std::function<void()> action)
     {
         m_fleet.time().after(after, std::move(action));
     }
@@ -231,28 +233,29 @@
     {
         m_fleet.cut(left, right, true);
         m_fleet.cut(right, left, both);
-        heal(healAfterLong, [this, left, right] {
+        scheduleAfter(longFaultDuration, [this, left, right] {
             m_fleet.cut(left, right, false);
             m_fleet.cut(right, left, false);
         });
     }
 
-    void troubleLeaf(std::uint32_t id, fake_leaf::faults faults, std::optional<millis> healAfter)
+    void injectLeafFault(std::uint32_t id, fake_leaf::faults faults, std::optional<millis> recoverAfter)
     {
-        // Killing a leaf answers the entries at once; that must not happen inside the step that is being handled.
+        // Killing a leaf sends replies to the entries at once. The task is deferred, so that these replies do not
+        // arrive while an entry is still handling the current step.
         m_fleet.time().after(millis(), [this, id, faults] { m_fleet.leaf({id}).setFaults(faults); });
-        if (healAfter) {
-            heal(*healAfter, [this, id] { m_fleet.leaf({id}).setFaults({}); });
+        if (recoverAfter) {
+            scheduleAfter(*recoverAfter, [this, id] { m_fleet.leaf({id}).setFaults({}); });
         }
     }
 
     void freeze(std::size_t entry, millis duration)
     {
         m_fleet.freezeEntry(entry);
-        heal(duration, [this, entry] { m_fleet.wakeEntry(entry); });
+        scheduleAfter(duration, [this, entry] { m_fleet.wakeEntry(entry); });
     }
 
-    void bring(fault what)
+    void injectFault(fault what)
     {
         fake_leaf::faults leafFault;
         switch (what) {
@@ -263,19 +266,19 @@
             break;
         case fault::EntryRestarted:
             m_fleet.time().after(millis(), [this] { m_fleet.killEntry(0); });
-            heal(healAfterShort, [this] { m_fleet.startEntry(0); });
+            scheduleAfter(shortFaultDuration, [this] { m_fleet.startEntry(0); });
             break;
         case fault::EntryFrozenShort:
-            freeze(0, healAfterShort);
+            freeze(0, shortFaultDuration);
             break;
         case fault::EntryFrozenLong:
-            freeze(0, healAfterLong);
+            freeze(0, longFaultDuration);
             break;
         case fault::OtherKilled:
             m_fleet.time().after(millis(), [this] { m_fleet.killEntry(2); });
             break;
         case fault::OtherFrozenLong:
-            freeze(2, healAfterLong);
+            freeze(2, longFaultDuration);
             break;
         case fault::CutOneWay:
             cutBetween(0, 1, false);
@@ -286,65 +289,65 @@
         case fault::CutBothWays:
             cutBetween(0, 1, true);
             break;
-        case fault::FramesDoubled:
-            m_fleet.disorder.doubled = true;
+        case fault::FramesDuplicated:
+            m_fleet.networkFaults.duplicateFrames = true;
             break;
-        case fault::FramesLate:
-            m_fleet.disorder.late = true;
+        case fault::FramesReordered:
+            m_fleet.networkFaults.reorderFrames = true;
             break;
         case fault::LeafKilled:
             leafFault.dead = true;
-            troubleLeaf(0, leafFault, std::nullopt);
-            troubleLeaf(deskFirstLeaf, leafFault, std::nullopt);
+            injectLeafFault(0, leafFault, std::nullopt);
+            injectLeafFault(deskFirstLeaf, leafFault, std::nullopt);
             break;
-        case fault::LeafRevived:
+        case fault::LeafRestarted:
             leafFault.dead = true;
-            troubleLeaf(1, leafFault, healAfterShort);
-            troubleLeaf(deskFirstLeaf + 1, leafFault, healAfterShort);
+            injectLeafFault(1, leafFault, shortFaultDuration);
+            injectLeafFault(deskFirstLeaf + 1, leafFault, shortFaultDuration);
             break;
         case fault::LeafFrozen:
             leafFault.frozen = true;
-            troubleLeaf(1, leafFault, healAfterLong);
-            troubleLeaf(deskFirstLeaf + 1, leafFault, healAfterLong);
+            injectLeafFault(1, leafFault, longFaultDuration);
+            injectLeafFault(deskFirstLeaf + 1, leafFault, longFaultDuration);
             break;
         case fault::LeafSlow:
             leafFault.slowFactor = 100;
-            troubleLeaf(1, leafFault, std::nullopt);
-            troubleLeaf(deskFirstLeaf, leafFault, std::nullopt);
+            injectLeafFault(1, leafFault, std::nullopt);
+            injectLeafFault(deskFirstLeaf, leafFault, std::nullopt);
             break;
         case fault::LeafShedding:
             leafFault.shed = true;
-            troubleLeaf(1, leafFault, healAfterShort);
-            troubleLeaf(deskFirstLeaf, leafFault, healAfterShort);
+            injectLeafFault(1, leafFault, shortFaultDuration);
+            injectLeafFault(deskFirstLeaf, leafFault, shortFaultDuration);
             break;
         case fault::LeafCold:
             leafFault.cold = true;
-            troubleLeaf(1, leafFault, healAfterLong);
+            injectLeafFault(1, leafFault, longFaultDuration);
             break;
         case fault::LeafRefusesLeaving:
-            leafFault.refusesLeaving = true;
-            leafFault.healthSilent = true;
-            troubleLeaf(1, leafFault, std::nullopt);
-            troubleLeaf(deskFirstLeaf, leafFault, std::nullopt);
+            leafFault.refusesAsLeaving = true;
+            leafFault.healthHidesLeaving = true;
+            injectLeafFault(1, leafFault, std::nullopt);
+            injectLeafFault(deskFirstLeaf, leafFault, std::nullopt);
             break;
         case fault::LeafOtherSnapshot:
             m_fleet.leaf({1}).hold({2}, {1});
-            leafFault.answersOther = true;
-            troubleLeaf(1, leafFault, std::nullopt);
+            leafFault.answersFromNewestSnapshot = true;
+            injectLeafFault(1, leafFault, std::nullopt);
             break;
         case fault::PlatformDown:
             m_fleet.setPlatformUp(false);
-            heal(healAfterLong * 2, [this] { m_fleet.setPlatformUp(true); });
+            scheduleAfter(longFaultDuration * 2, [this] { m_fleet.setPlatformUp(true); });
             break;
         case fault::PlatformOldPublication:
             m_fleet.publish(platform_name::Catalogue, catalogueText(1));
             break;
         case fault::OperatorsRace:
             publishCatalogue(5);
-            heal(millis(1), [this] { m_fleet.publish(platform_name::Catalogue, catalogueText(4)); });
-            heal(millis(2), [this] { m_fleet.publish(platform_name::Catalogue, catalogueText(5, 7)); });
+            scheduleAfter(millis(1), [this] { m_fleet.publish(platform_name::Catalogue, catalogueText(4)); });
+            scheduleAfter(millis(2), [this] { m_fleet.publish(platform_name::Catalogue, catalogueText(5, 7)); });
             break;
-        case fault::ListLags:
+        case fault::VmListStale:
             m_fleet.publish(platform_name::VmList, vmListText(2, entryCount + 2));
             break;
         case fault::EntryStopped:
@@ -353,7 +356,7 @@
         }
     }
 
-    /** At the end, every entry that is up has the newest revision that any entry saw. */
+    /** At the end of a case, all running entries must hold the highest catalogue revision held by any of them. */
     void checkConvergence(std::vector<violation> &found)
     {
         std::uint64_t highest = 0;
@@ -370,11 +373,12 @@
         }
     }
 
-    /** A planned stop without another fault cuts off no caller. */
+    /** A planned stop without other faults must neither refuse a lookup nor break a caller's connection. */
     void checkStop(std::vector<violation> &found)
     {
-        const bool other = std::ranges::any_of(m_faults, [](const placed_fault &placed) { return placed.step != 0; });
-        if (!m_stopped || other) {
+        const bool hasOtherFault =
+            std::ranges::any_of(m_faults, [](const placed_fault &placed) { return placed.step != 0; });
+        if (!m_stoppedEntry || hasOtherFault) {
             return;
         }
         const auto lost = std::ranges::count_if(m_fleet.callers(), &caller_record::connectionLost);
@@ -388,7 +392,7 @@
         if (lost > 0) {
             found.push_back({"graceful stop", std::to_string(lost) + " callers cut off"});
         }
-        if (!m_fleet.hasEnded(*m_stopped)) {
+        if (!m_fleet.hasEnded(*m_stoppedEntry)) {
             found.push_back({"graceful stop", "the process did not end"});
         }
     }
@@ -398,9 +402,9 @@
     fake_fleet m_fleet;
     millis m_start;
     std::uint64_t m_firstStep = 0;
-    std::uint64_t m_busySteps = 0;
+    std::uint64_t m_faultWindowSteps = 0;
     std::uint64_t m_newestRevision = 1;
-    std::optional<std::size_t> m_stopped;
+    std::optional<std::size_t> m_stoppedEntry;
     millis m_stoppedAt;
 };
 
@@ -438,9 +442,9 @@
     return names.at(static_cast<std::size_t>(value));
 }
 
-case_result runCase(scenario chosen, const std::vector<placed_fault> &faults, guard leftOut, std::uint64_t seed)
+case_result runCase(scenario chosen, const std::vector<placed_fault> &faults, guard disabledGuard, std::uint64_t seed)
 {
-    return case_run(chosen, faults, leftOut, seed).run();
+    return case_run(chosen, faults, disabledGuard, seed).run();
 }
 
 } // namespace chivelock::fakes
