--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,7 +1,7 @@
 /**
  * @file
- * The decisions under load, in virtual time: variants of the policy against each other. Prints a table and writes a
- * CSV. Usage: bench [SUITE] [FIRST_SEED] [SEEDS] [CSV]; suites: main, far, overload, hedges, all
+ * Compares variants of the policy settings under load, in virtual time. Prints a table and writes a CSV file.
+ * Usage: bench [SUITE] [FIRST_SEED] [SEEDS] [CSV]; suites: main, far, overload, hedges, all
  */
 
 #include "experiment.h"
@@ -51,7 +51,7 @@
          [](experiment &e) {
              const double mean = e.service.meanMs();
              e.service.stragglerShare = 0;
-             e.load *= e.service.meanMs() / mean; // the same arrivals per second
+             e.load *= e.service.meanMs() / mean; // keeps the number of arrivals per second
              e.runner.hedging = false;
          }},
     };
@@ -61,7 +61,7 @@
 {
     const auto limited = [](experiment &e) {
         e.hardLimit = millis(400);
-        e.comeBack = true;
+        e.retryRefused = true;
     };
     const auto with = [limited](const std::function<void(experiment &)> &more) {
         return [limited, more](experiment &e) {
@@ -99,8 +99,8 @@
     return variants;
 }
 
-/** The same over the longer way between the southern availability zones. */
-std::vector<variant> far(std::vector<variant> variants)
+/** Returns the variants with the longer network delay between the southern availability zones. */
+std::vector<variant> withDistantZones(std::vector<variant> variants)
 {
     for (variant &one : variants) {
         one.change = [change = one.change](experiment &e) {
@@ -117,7 +117,7 @@
     return values[values.size() / 2];
 }
 
-/** One line of the table: medians over the seeds, and the spread of p99. */
+/** Prints one line per point, with medians over the seeds and the spread of p99, and writes one CSV line per run. */
 class table
 {
 public:
@@ -148,7 +148,7 @@
         std::cout << '\n';
     }
 
-    void add(const experiment &what, std::span<const measures> results)
+    void addRow(const experiment &point, std::span<const measures> results)
     {
         const auto median = [&](auto value) {
             std::vector<double> values;
@@ -162,41 +162,41 @@
         const auto share = [](std::uint64_t part, const measures &m) {
             return 100.0 * static_cast<double>(part) / std::max<double>(1, static_cast<double>(m.all.asked));
         };
-        std::cout << std::left << std::setw(30) << what.variant << std::right << std::fixed << std::setprecision(2)
-                  << std::setw(width) << what.load << std::setprecision(1);
-        column(median([](const measures &m) { return m.all.quantile(0.5); }));
-        column(median([](const measures &m) { return m.all.quantile(0.99); }));
+        std::cout << std::left << std::setw(30) << point.variant << std::right << std::fixed << std::setprecision(2)
+                  << std::setw(width) << point.load << std::setprecision(1);
+        printColumn(median([](const measures &m) { return m.all.quantile(0.5); }));
+        printColumn(median([](const measures &m) { return m.all.quantile(0.99); }));
         std::cout << std::setw(width) << "+-" + std::to_string(static_cast<int>((most - least) / 2));
-        column(median([](const measures &m) { return m.all.quantile(0.999); }));
-        column(median([](const measures &m) { return m.urgent.quantile(0.99); }));
+        printColumn(median([](const measures &m) { return m.all.quantile(0.999); }));
+        printColumn(median([](const measures &m) { return m.urgent.quantile(0.99); }));
         std::cout << std::setprecision(3);
-        column(median([](const measures &m) { return m.goodput; }));
+        printColumn(median([](const measures &m) { return m.goodput; }));
         std::cout << std::setprecision(1);
-        column(median([&](const measures &m) { return share(m.all.answered - m.all.partial, m); }));
-        column(median([&](const measures &m) { return share(m.all.refused, m); }));
-        column(median([&](const measures &m) { return share(m.all.failed, m); }));
+        printColumn(median([&](const measures &m) { return share(m.all.answered - m.all.partial, m); }));
+        printColumn(median([&](const measures &m) { return share(m.all.refused, m); }));
+        printColumn(median([&](const measures &m) { return share(m.all.failed, m); }));
         std::cout << std::setprecision(3);
-        column(median([](const measures &m) { return m.attemptsPerNeeded; }));
+        printColumn(median([](const measures &m) { return m.attemptsPerFirstSend; }));
         std::cout << std::setprecision(1);
-        column(median([](const measures &m) { return m.serviceMsPerAnswer; }));
-        column(median([](const measures &m) { return m.all.slowestRefusalMs; }));
-        column(median([](const measures &m) { return m.comeBackSuccess; }));
+        printColumn(median([](const measures &m) { return m.serviceMsPerAnswer; }));
+        printColumn(median([](const measures &m) { return m.all.maxRefusalMs; }));
+        printColumn(median([](const measures &m) { return m.retrySuccessShare; }));
         std::cout << std::endl;
     }
 
-    void csv(const experiment &what, const measures &m)
+    void addCsvRow(const experiment &point, const measures &m)
     {
-        m_csv << '"' << what.variant << "\"," << what.load << ',' << what.seed << ',' << m.all.quantile(0.5) << ','
+        m_csv << '"' << point.variant << "\"," << point.load << ',' << point.seed << ',' << m.all.quantile(0.5) << ','
               << m.all.quantile(0.99) << ',' << m.all.quantile(0.999) << ',' << m.urgent.quantile(0.99) << ','
               << m.ordinary.quantile(0.99) << ',' << m.goodput << ',' << m.all.answered << ',' << m.all.partial << ','
-              << m.all.refused << ',' << m.all.failed << ',' << m.attemptsPerNeeded << ',' << m.serviceMsPerAnswer
-              << ',' << m.all.slowestRefusalMs << ',' << m.comeBackSuccess << ',' << m.peerMessagesPerLookup << '\n';
+              << m.all.refused << ',' << m.all.failed << ',' << m.attemptsPerFirstSend << ',' << m.serviceMsPerAnswer
+              << ',' << m.all.maxRefusalMs << ',' << m.retrySuccessShare << ',' << m.peerMessagesPerLookup << '\n';
     }
 
 private:
     static constexpr int width = 9;
 
-    static void column(double value)
+    static void printColumn(double value)
     {
         std::cout << std::setw(width) << value;
     }
@@ -232,9 +232,9 @@
     }
     const std::vector<measures> results = runAll(points);
     for (std::size_t index = 0; index < points.size(); index += seeds.count) {
-        out.add(points[index], std::span(results).subspan(index, seeds.count));
+        out.addRow(points[index], std::span(results).subspan(index, seeds.count));
         for (std::size_t seed = 0; seed < seeds.count; ++seed) {
-            out.csv(points[index + seed], results[index + seed]);
+            out.addCsvRow(points[index + seed], results[index + seed]);
         }
     }
 }
@@ -248,7 +248,7 @@
     const seed_range seeds {arguments.size() > 1 ? std::stoull(arguments[1]) : 1,
                             arguments.size() > 2 ? std::stoull(arguments[2]) : 3};
     const std::vector<suite> suites = {{"main", mainVariants(), {0.35, 0.5, 0.7, 0.9}},
-                                       {"far", far(mainVariants()), {0.35, 0.5, 0.7, 0.9}},
+                                       {"far", withDistantZones(mainVariants()), {0.35, 0.5, 0.7, 0.9}},
                                        {"overload", overloadVariants(), {0.5, 0.9, 1.2, 2, 4}},
                                        {"hedges", hedgeVariants(), {0.5}}};
     table out(arguments.size() > 3 ? arguments[3] : "");
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,7 +1,7 @@
 /**
  * @file
- * Slopes for docs/CAPACITY.md: what control and data cost as the fleet grows, measured in process. Prints CSV lines
- * "measure,size,value,unit"; processor times are of this machine, counts and bytes are exact.
+ * Measures in process how the cost of control traffic and lookups grows with the fleet, for docs/CAPACITY.md. Prints
+ * CSV lines "measure,size,value,unit". Processor times depend on the machine; counts and bytes are exact.
  */
 
 #include <catalogue/catalogue.h>
@@ -44,7 +44,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-vm_list_document listOf(std::size_t count)
+vm_list_document makeVmList(std::size_t count)
 {
     vm_list_document list {1, {}};
     for (std::uint32_t id = 1; id <= count; ++id) {
@@ -53,32 +53,32 @@
     return list;
 }
 
-/** Members that gossip in virtual time; messages take one round of 50 ms, which is slower than any network. */
+/** Gossiping members in virtual time. Each message takes one round of 50 ms, which is slower than any real network. */
 class gossip_group
 {
 public:
     explicit gossip_group(std::size_t count)
         : m_revisions(count, 1)
     {
-        const vm_list_document list = listOf(count);
+        const vm_list_document list = makeVmList(count);
         for (std::uint32_t id = 1; id <= count; ++id) {
             m_members.emplace_back(vm_id {id}, 1, membership_settings(), id);
             m_members.back().onVmList(list);
         }
     }
 
-    /** One round of all members. @p dead members neither send nor receive. */
+    /** Runs one gossip round. Members marked in @p dead neither send nor receive. */
     void round(const std::vector<bool> &dead)
     {
         m_now = m_now + step;
-        std::vector<outgoing_heartbeat> arriving = std::exchange(m_wire, {});
+        std::vector<outgoing_heartbeat> arriving = std::exchange(m_inFlight, {});
         for (outgoing_heartbeat &send : arriving) {
             receive(send, dead);
         }
         for (std::size_t index = 0; index < m_members.size(); ++index) {
             if (!dead[index]) {
                 for (outgoing_heartbeat &send : m_members[index].tick({m_revisions[index], 1}, m_now)) {
-                    post(std::move(send));
+                    enqueue(std::move(send));
                 }
             }
         }
@@ -90,20 +90,21 @@
         if (dead[to]) {
             return;
         }
-        // The revision is pulled from whoever is ahead, as the entry does; the pull itself is counted apart.
+        // Like an entry, the member pulls a higher revision from the sender. The cost of the pull is measured
+        // separately.
         m_revisions[to] = std::max(m_revisions[to], send.message.catalogueRevision);
         if (auto ack = m_members[to].onHeartbeat(send.message, {m_revisions[to], 1}, m_now)) {
-            post(*std::move(ack));
+            enqueue(*std::move(ack));
         }
     }
 
-    void post(outgoing_heartbeat send)
+    void enqueue(outgoing_heartbeat send)
     {
         ++messages;
         if (messages % sampleEvery == 0) {
             bytes += static_cast<double>(encodeFrame(vm_id {1}, send.message).size() * sampleEvery);
         }
-        m_wire.push_back(std::move(send));
+        m_inFlight.push_back(std::move(send));
     }
 
     void publish(std::size_t at, std::uint64_t revision)
@@ -111,14 +112,14 @@
         m_revisions[at] = revision;
     }
 
-    [[nodiscard]] std::size_t holding(std::uint64_t revision) const
+    [[nodiscard]] std::size_t membersAtRevision(std::uint64_t revision) const
     {
         return static_cast<std::size_t>(std::ranges::count(m_revisions, revision));
     }
 
-    [[nodiscard]] std::size_t believedAlive(std::size_t by, vm_id whom) const
+    [[nodiscard]] std::size_t countAsAlive(std::size_t observer, vm_id member) const
     {
-        return m_members[by].isRunner(whom) ? 1 : 0;
+        return m_members[observer].isRunner(member) ? 1 : 0;
     }
 
     static constexpr millis step {50};
@@ -129,11 +130,14 @@
 private:
     std::deque<membership> m_members;
     std::vector<std::uint64_t> m_revisions;
-    std::vector<outgoing_heartbeat> m_wire;
+    std::vector<outgoing_heartbeat> m_inFlight;
     millis m_now {1000};
 };
 
-/** Control traffic and processor time of a steady group, then a change's spread, then a loss's. */
+/**
+ * Measures control traffic and processor time of a stable group, then how long it takes until all remaining
+ * members hold a new revision and until none of those sampled considers a lost member alive.
+ */
 void measureGossip(std::size_t count)
 {
     constexpr int settleRounds = 60;
@@ -156,23 +160,23 @@
     print("heartbeat_messages", count, static_cast<double>(group.messages) / nodeSeconds, "1/s/node");
     print("heartbeat_bytes", count, group.bytes / nodeSeconds, "B/s/node");
     print("membership_cpu", count, watch.micros() / nodeSeconds, "us/s/node");
-    // A tenth of the nodes, as an availability zone of eleven, is lost at the moment of the change.
+    // One of eleven availability zones, about a tenth of the nodes, is lost at the moment of the change.
     const std::size_t lost = count / 11;
     std::fill(dead.end() - static_cast<std::ptrdiff_t>(lost), dead.end(), true);
     group.publish(0, 2);
     int rounds = 0;
-    while (group.holding(2) < count - lost && rounds < 600) {
+    while (group.membersAtRevision(2) < count - lost && rounds < 600) {
         group.round(dead);
         ++rounds;
     }
     print("change_spread_zone_lost", count, rounds * gossip_group::step.count(), "ms");
     const vm_id last {static_cast<std::uint32_t>(count)};
-    std::size_t believing = 1;
-    for (; believing > 0 && rounds < 1200; ++rounds) {
+    std::size_t aliveCount = 1;
+    for (; aliveCount > 0 && rounds < 1200; ++rounds) {
         group.round(dead);
-        believing = 0;
+        aliveCount = 0;
         for (std::size_t index = 0; index < count - lost; index += 1 + count / 200) {
-            believing += group.believedAlive(index, last);
+            aliveCount += group.countAsAlive(index, last);
         }
     }
     print("loss_known_zone_lost", count, rounds * gossip_group::step.count(), "ms");
@@ -208,9 +212,9 @@
     (void)behind.offer(first, "platform", millis(1));
     print("catalogue_bytes", kinds, static_cast<double>(first.size()), "B");
     const std::string next = catalogueWith(kinds, 2);
-    stopwatch whole;
+    stopwatch offerTime;
     (void)ahead.offer(next, "platform", millis(2));
-    print("catalogue_offer_cpu", kinds, whole.micros(), "us");
+    print("catalogue_offer_cpu", kinds, offerTime.micros(), "us");
     const std::string delta = writeDelta(*ahead.deltaSince(1));
     print("catalogue_delta_bytes", kinds, static_cast<double>(delta.size()), "B");
     double sum = 0;
@@ -223,12 +227,12 @@
     print("catalogue_delta_cpu", kinds, sum / rounds, "us");
 }
 
-/** What a lookup costs at its root and at a runner, without sockets. */
+/** Measures the cost of a lookup at its root and at a runner, without sockets. */
 void measureFanOut(std::uint32_t shards)
 {
     constexpr int rounds = 200;
     root_engine root({1}, 1, {}, 1);
-    membership alone({1}, 1, {}, 1);
+    membership singleMember({1}, 1, {}, 1);
     runner_settings noHedges;
     noHedges.hedging = false;
     runner_engine runner(noHedges, 1);
@@ -251,7 +255,7 @@
         lookup_request request {
             1, "request-id-of-usual-length", {"whole"}, "", R"({"query":"of usual length"})", millis(400), ""};
         const stopwatch planning;
-        root.submit(request, alone, millis(1000), rootOut);
+        root.submit(request, singleMember, millis(1000), rootOut);
         rootMicros += planning.micros();
         const run_shards run = std::get<run_shards>(std::get<peer_send>(rootOut.front()).message);
         out.clear();
@@ -284,7 +288,7 @@
                 codecMicros += coding.micros();
                 frameBytes += static_cast<double>(frame.size());
                 const stopwatch merging;
-                root.onReply({1}, std::get<shard_reply>(read->message), alone, millis(1001), rootOut);
+                root.onReply({1}, std::get<shard_reply>(read->message), singleMember, millis(1001), rootOut);
                 rootMicros += merging.micros();
             }
         }
@@ -293,12 +297,12 @@
     print("runner_cpu", shards, runnerMicros / rounds, "us/lookup");
     print("codec_cpu", shards, codecMicros / rounds, "us/lookup");
     print("reply_bytes", shards, frameBytes / rounds, "B/lookup");
-    // In flight and not ended: what root and runner hold for each.
+    // The heap memory that root and runner hold per lookup in flight: these lookups are not completed.
     const double heapBefore = heapBytes();
     for (int round = 0; round < rounds; ++round) {
         rootOut.clear();
         root.submit({1, "request-id-of-usual-length", {"whole"}, "", R"({"query":"of usual length"})", millis(400), ""},
-                    alone,
+                    singleMember,
                     millis(1000),
                     rootOut);
         runner.onRun({1}, std::get<run_shards>(std::get<peer_send>(rootOut.front()).message), millis(1000), out);
--- a/bench/test_regression.cpp
+++ b/bench/test_regression.cpp
@@ -6,8 +6,8 @@
 using namespace chivelock;
 using namespace chivelock::bench;
 
-// Bounds on figures in virtual time: the same input gives the same figure on any machine, so a bound that is crossed
-// is a change of the decisions, never of the machine's mood. docs/design/load.md has the figures they come from.
+// Bounds on results in virtual time. The same input gives the same result on any machine, so a crossed bound always
+// means that the decisions have changed. docs/design/load.md has the figures from which the bounds are derived.
 
 namespace {
 
@@ -40,7 +40,7 @@
     without.runner.hedging = false;
     const auto results = runAll({with, without});
     BOOST_TEST(results[0].all.quantile(0.99) <= 2 * results[1].all.quantile(0.99));
-    BOOST_TEST(results[0].attemptsPerNeeded <= 1.08);
+    BOOST_TEST(results[0].attemptsPerFirstSend <= 1.08);
 }
 
 BOOST_AUTO_TEST_CASE(runners_beat_direct_mode_near_capacity)
@@ -56,7 +56,7 @@
 {
     const measures result = run(limited(2));
     BOOST_TEST(result.goodput >= 0.9);
-    BOOST_TEST(result.all.slowestRefusalMs <= 5);
+    BOOST_TEST(result.all.maxRefusalMs <= 5);
     BOOST_TEST(result.urgent.quantile(0.99) <= 140);
     BOOST_TEST(result.ordinary.answered > 0);
 }
