--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
 """Derives the table of docs/CAPACITY.md from measured slopes.
 
-Usage: capacity.py BUILD_DIR          measures again (bench/slopes), then derives
-       capacity.py --slopes FILE.csv  derives from an earlier measurement
+Usage: capacity.py BUILD_DIR          runs bench/slopes, records its output in docs/capacity/slopes.csv, derives the table
+       capacity.py --slopes FILE.csv  derives the table from recorded slopes
 """
 import collections
 import pathlib
@@ -16,7 +16,7 @@
 RECORDED = pathlib.Path(__file__).resolve().parent.parent / "docs/capacity/slopes.csv"
 
 
-def read(text):
+def parse_points(text):
     points = collections.defaultdict(list)
     for line in text.splitlines():
         measure, size, value, unit = line.split(",")
@@ -25,7 +25,7 @@
 
 
 def fit(points):
-    """Least squares a + b * size. Returns (a, b, largest relative error)."""
+    """Fits a + b * size by least squares. Returns (a, b, largest relative error)."""
     n = len(points)
     mean_x = sum(x for x, _, _ in points) / n
     mean_y = sum(y for _, y, _ in points) / n
@@ -53,14 +53,14 @@
             yield f"| {measure} ({points[0][2]}) | {sizes} | {base:.4g} | {slope:.4g} | {error:.0%} |"
 
 
-def verdict(value, limit):
+def limit_result(value, limit):
     return "holds" if value <= limit else f"**breaks** ({value / limit:.1f} times over)"
 
 
 def derive(slopes):
     changes_per_second = CHANGES_A_DAY / 86400
     heartbeat = slopes.at("heartbeat_bytes", NODES)
-    delta = slopes.at("catalogue_delta_bytes", KINDS) * changes_per_second * 2  # received once, passed on about once
+    delta = slopes.at("catalogue_delta_bytes", KINDS) * changes_per_second * 2  # received once, forwarded about once
     control_bytes = heartbeat + delta
     list_bytes = NODES * 110
     list_rate = (RESTARTS_A_DAY + FAILS_A_DAY) / 86400
@@ -79,49 +79,49 @@
     lookups = RATE / NODES
     root_cores = slopes.at("root_cpu", FAN_OUT) * lookups / 1e6
     codec_cores = slopes.at("codec_cpu", FAN_OUT) * lookups / 1e6
-    # A straight line fits the runner badly (tables outgrow the caches); the dearest shard of all sizes is taken.
+    # A straight line fits the runner badly because its tables outgrow the caches: use the highest cost per shard.
     runner_cores = max(y / x for x, y, _ in slopes.points["runner_cpu"]) * per_node / 1e6
     reply_rate = slopes.at("reply_bytes", FAN_OUT) * lookups
     in_flight = lookups * 0.05
     lookup_memory = slopes.at("lookup_heap", FAN_OUT) * in_flight
     watch_reads = NODES * 3 / 10
     rows = [
-        ("control: bytes a second a node", f"{control_bytes:,.0f} B/s", "2,048 B/s", verdict(control_bytes, 2048),
+        ("control: bytes a second a node", f"{control_bytes:,.0f} B/s", "2,048 B/s", limit_result(control_bytes, 2048),
          "one heartbeat each 200 ms to the next member, with rumours and revisions; deltas of the catalogue"),
         ("control: VM list, if published whole", f"{list_traffic:,.0f} B/s", "in the 2,048 B/s",
-         verdict(list_traffic + control_bytes, 2048), f"{list_bytes:,} B a publication, {list_rate * 86400:,.0f} a day"),
-        ("control: processor", f"{control_cpu:.2%} of a core", "2.7%", verdict(control_cpu, 0.027),
+         limit_result(list_traffic + control_bytes, 2048), f"{list_bytes:,} B a publication, {list_rate * 86400:,.0f} a day"),
+        ("control: processor", f"{control_cpu:.2%} of a core", "2.7%", limit_result(control_cpu, 0.027),
          "membership, catalogue deltas, ownership made anew after each join and leave"),
-        ("control: memory", f"{memory / 1e6:,.0f} MB", "128 MB", verdict(memory, 128e6),
+        ("control: memory", f"{memory / 1e6:,.0f} MB", "128 MB", limit_result(memory, 128e6),
          f"members {memory_members / 1e6:.1f} MB, shard maps of {LEAFS:,} leafs {memory_map / 1e6:.0f} MB"),
-        ("change in force everywhere, a zone lost", f"{spread / 1000:.1f} s", "11 s", verdict(spread, 11000),
+        ("change in force everywhere, a zone lost", f"{spread / 1000:.1f} s", "11 s", limit_result(spread, 11000),
          "revision in each heartbeat, pull from whoever is ahead; worst of the sizes measured, plus a first read"),
-        ("configuration reads, every node watching", f"{watch_reads:,.0f} /s", "2,000 /s", verdict(watch_reads, 2000),
+        ("configuration reads, every node watching", f"{watch_reads:,.0f} /s", "2,000 /s", limit_result(watch_reads, 2000),
          "three watches of 10 s a node"),
         ("configuration reads, all start at once", f"{NODES * 3:,} in the first second", "2,000 /s",
-         verdict(NODES * 3, 2000), "three first reads a node; retry with jitter spreads what is refused"),
+         limit_result(NODES * 3, 2000), "three first reads a node; retry with jitter spreads what is refused"),
         ("data: leaf requests a second a node", f"{per_node:,.0f}", "12,000 a core aimed at",
-         verdict(per_node, 12000 * 4), "one HTTP request for each shard of each lookup"),
+         limit_result(per_node, 12000 * 4), "one HTTP request for each shard of each lookup"),
         ("data: requests a second a leaf", f"{per_leaf:,.0f}", "2 slots", "**breaks** without batching",
          f"batches of {BATCH} would make {per_leaf / BATCH:,.0f} requests a second"),
-        ("data: root, decisions", f"{root_cores:.1f} cores", "4 cores", verdict(root_cores, 4),
+        ("data: root, decisions", f"{root_cores:.1f} cores", "4 cores", limit_result(root_cores, 4),
          "plan, one reply a shard, merge"),
-        ("data: root, codec", f"{codec_cores:.1f} cores", "4 cores", verdict(codec_cores, 4),
+        ("data: root, codec", f"{codec_cores:.1f} cores", "4 cores", limit_result(codec_cores, 4),
          "one frame a shard; a frame a runner would carry all its shards"),
-        ("data: runner, decisions", f"{runner_cores:.1f} cores", "4 cores", verdict(runner_cores, 4),
+        ("data: runner, decisions", f"{runner_cores:.1f} cores", "4 cores", limit_result(runner_cores, 4),
          "admission, queue, choice, hedge timers"),
         ("data: bytes a second into a root", f"{reply_rate / 1e6:,.0f} MB/s", "1,250 MB/s",
-         verdict(reply_rate, 1250e6), "two short rows a shard; merging on the way up cuts it by the shards of a runner"),
+         limit_result(reply_rate, 1250e6), "two short rows a shard; merging on the way up cuts it by the shards of a runner"),
         ("data: memory of lookups in flight", f"{lookup_memory / 1e6:,.0f} MB", "1,000 MB",
-         verdict(lookup_memory, 1e9), f"{in_flight:,.0f} in flight at 50 ms each"),
-        ("data: connections a leaf, every node direct", f"{NODES:,}", "25", verdict(NODES, 25), "direct mode"),
-        ("data: connections a leaf, runner owns the shard", "4", "25", verdict(4, 25),
+         limit_result(lookup_memory, 1e9), f"{in_flight:,.0f} in flight at 50 ms each"),
+        ("data: connections a leaf, every node direct", f"{NODES:,}", "25", limit_result(NODES, 25), "direct mode"),
+        ("data: connections a leaf, runner owns the shard", "4", "25", limit_result(4, 25),
          "slots + 1 and one for health and cancels"),
     ]
     yield "| what | at letter 1's size | limit | verdict | mechanism, basis |"
     yield "|---|---|---|---|---|"
-    for what, value, limit, says, basis in rows:
-        yield f"| {what} | {value} | {limit} | {says} | {basis} |"
+    for what, value, limit, result, basis in rows:
+        yield f"| {what} | {value} | {limit} | {result} | {basis} |"
 
 
 def main():
@@ -130,7 +130,7 @@
     else:
         text = subprocess.run([f"{sys.argv[1]}/bench/slopes"], check=True, capture_output=True, text=True).stdout
         RECORDED.write_text(text)
-    slopes = Slopes(read(text))
+    slopes = Slopes(parse_points(text))
     print("\n".join(slopes.table()))
     print()
     print("\n".join(derive(slopes)))
--- a/scripts/check_packages.py
+++ b/scripts/check_packages.py
@@ -1,14 +1,14 @@
 #!/usr/bin/env python3
-"""Checks that a build uses nothing but what a clean machine gets from the deploy file's packages.
+"""Checks that a build uses only files which the deploy file's packages install on a clean machine.
 
-A machine of a developer has more installed than is listed, so a missing name shows only where the build is for the
-users. This reads what the finished build has really used (the compiler's dependency files and the link lines, as ninja
-keeps them) and asks dpkg whose files these are: each must belong to a listed package or to what those depend on.
+A developer's machine has more packages than the deploy file lists, so a missing name would show only when the platform
+builds the deployment. This script reads which files the finished build used (the compiler's dependency files and the link
+lines, as ninja keeps them) and asks dpkg for their packages: each must be a listed package or a dependency of one.
 
     check_packages.py BUILD_DIR DEPLOY_FILE [--omit NAME]
 
---omit plays a list without NAME, to show that the check can fail. Exit code 0: complete; 1: something is missing, with
-a line for each package; 2: the check itself could not be done.
+--omit removes NAME from the list, to show that the check can fail. Exit code 0: complete; 1: packages are missing, with
+a line for each; 2: the build names no file to check.
 """
 
 import argparse
@@ -26,13 +26,13 @@
 
 
 def used_headers(build):
-    """Absolute paths of the headers in the dependency files that are not the project's own."""
+    """Absolute paths of the system headers in the dependency files."""
     lines = (line.strip() for line in output_of("ninja", "-C", build, "-t", "deps").splitlines())
     return {line for line in lines if line.startswith(("/usr/", "/lib/", "/opt/"))}
 
 
 def linked_libraries(build):
-    """Files that the link lines name, in full or by -l."""
+    """Libraries in the link lines, by path or by -l."""
     files = set()
     for command in output_of("ninja", "-C", build, "-t", "commands").splitlines():
         if " -c " in command:
@@ -46,27 +46,31 @@
     return {file for file in files if file.startswith("/")}
 
 
-def spellings(file):
-    """A path as dpkg may know it: /lib is a link to /usr/lib, and dpkg keeps the name of the package's time."""
+def possible_paths(file):
+    """Paths that dpkg may list the file under: /lib links to /usr/lib, and dpkg keeps the path that the package was built
+    with."""
     real = str(Path(file).resolve())
     names = {file, real}
     return names | {name.removeprefix("/usr") for name in names if name.startswith("/usr/lib")}
 
 
 def owners_of(files):
-    """By file, the packages that have it."""
-    asked = sorted({name for file in files for name in spellings(file)})
+    """Maps each file to the packages that contain it."""
+    asked = sorted({name for file in files for name in possible_paths(file)})
     answer = subprocess.run(["dpkg", "-S", *asked], capture_output=True, text=True, check=False).stdout
     known = defaultdict(set)
     for line in answer.splitlines():
         packages, _, path = line.partition(": ")
         if not line.startswith("diversion "):
             known[path] |= {name.split(":")[0] for name in packages.split(", ")}
-    return {file: set().union(*(known[name] for name in spellings(file))) for file in files}
+    return {file: set().union(*(known[name] for name in possible_paths(file))) for file in files}
 
 
 def installed_dependencies():
-    """By package or virtual name, the names that it depends on; any alternative counts if it is installed."""
+    """Returns the dependencies of each package, the providers of each virtual name, and the essential packages.
+
+    All alternatives of a dependency are listed; those that are installed count.
+    """
     needs, provides = {}, defaultdict(set)
     fields = "${Package}\t${Depends}, ${Pre-Depends}\t${Provides}\t${Essential}\n"
     essential = set()
@@ -81,7 +85,7 @@
 
 
 def closure_of(listed):
-    """All packages that a machine has for certain once the listed ones are installed."""
+    """All packages on a machine where the listed and the essential packages are installed, with their dependencies."""
     needs, provides, essential = installed_dependencies()
     unknown = [name for name in listed if name not in needs]
     if unknown:
@@ -112,8 +116,8 @@
     for file, owners in owners_of(files).items():
         if not owners & closure:
             missing[", ".join(sorted(owners)) or "no package"].append(file)
-    for package, lacking in sorted(missing.items()):
-        print(f"not brought by the listed packages: {package} ({len(lacking)} files, first {min(lacking)})")
+    for package, uncovered in sorted(missing.items()):
+        print(f"not brought by the listed packages: {package} ({len(uncovered)} files, first {min(uncovered)})")
     print(f"{len(files)} files of the system used, {len(listed)} packages listed, {len(missing)} packages missing")
     return 1 if missing else 0
 
--- a/scripts/cluster.py
+++ b/scripts/cluster.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of one try-out: the stand-in and some entries. Used by demo.py, faults.py and others."""
+"""Starts and stops a local deployment: the stand-in and some entries. Used by demo.py, faults.py and overhead.py."""
 import json
 import os
 import pathlib
@@ -13,14 +13,14 @@
 
 
 def request(url, body=None, timeout=5, method=None):
-    """One HTTP exchange. Returns (status, parsed body); status 0 if there was no reply."""
+    """Sends one HTTP request. Returns (status, parsed body); status 0 if there was no response."""
     data = None if body is None else (body if isinstance(body, bytes) else json.dumps(body).encode())
-    call = urllib.request.Request(url, data=data, method=method)
+    outgoing = urllib.request.Request(url, data=data, method=method)
     try:
-        with urllib.request.urlopen(call, timeout=timeout) as reply:
+        with urllib.request.urlopen(outgoing, timeout=timeout) as reply:
             status, text = reply.status, reply.read()
-    except urllib.error.HTTPError as refused:
-        status, text = refused.code, refused.read()
+    except urllib.error.HTTPError as http_error:
+        status, text = http_error.code, http_error.read()
     except (OSError, urllib.error.URLError):
         return 0, {}
     try:
@@ -30,7 +30,7 @@
 
 
 class Cluster:
-    """Processes of one deployment; ends only what it started, by process id."""
+    """The processes of one deployment. Stops only processes that it started, by process id."""
 
     def __init__(self, build, deployment="new-england", entries=3, settings=None):
         root = pathlib.Path(__file__).resolve().parent.parent
@@ -92,7 +92,7 @@
         self.processes.pop(name).wait()
 
     def stop_all(self):
-        """SIGTERM to all, entries first. Returns the exit codes by name."""
+        """Sends SIGTERM to all processes, entries first. Returns the exit codes by name."""
         codes = {}
         names = [name for name in self.processes if name != "standin"]
         for name in names:
@@ -116,10 +116,10 @@
         log = open(self.folder / f"{name}.log", "wb")
         self.processes[name] = subprocess.Popen([str(part) for part in command], stdout=log, stderr=log)
 
-    def _await(self, reached, what, seconds=20):
+    def _await(self, is_ready, what, seconds=20):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            if reached():
+            if is_ready():
                 return
             time.sleep(0.05)
-        raise RuntimeError(f"{what} did not come up; logs in {self.folder}")
+        raise RuntimeError(f"{what} not ready after {seconds} s; logs in {self.folder}")
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Three entries of New England at the sizes of today: lookups, a ticket, a killed entry, a killed leaf, a planned stop.
+"""Runs three entries of the New England deployment: lookups, a ticket, a killed entry, a failed leaf, a planned stop.
 
-Exits with 0 only if each step did what it prints.
+Exits with 0 only if every step had the expected outcome.
 """
 import sys
 import time
@@ -27,7 +27,7 @@
 def ask(cluster, entry, kind, outcomes, label, **body):
     status, answer = cluster.lookup(entry, kind, **body)
     show(label, status, answer)
-    expect(answer.get("outcome") in outcomes, f"{label}: one of {outcomes}")
+    expect(answer.get("outcome") in outcomes, f"{label}: outcome {answer.get('outcome')}, expected one of {outcomes}")
     return answer
 
 
@@ -39,27 +39,27 @@
         for entry in (1, 2, 3):
             ask(cluster, entry, "changeover-recipes", ("whole",), f"urgent, entry {entry}")
             ask(cluster, entry, "part-histories", ("whole", "partial"), f"ordinary, entry {entry}")
-        print("an unrepeatable entry: first a ticket, then the entry, then the same ticket on other entries")
+        print("a non-idempotent request: get a ticket, send the request with it, then send it again to other entries")
         first = ask(cluster, 1, "changeover-log-entry", ("not_run",), "without a ticket", key="line-7")
         for entry in (1, 2, 3):
             ask(cluster, entry, "changeover-log-entry", ("whole",), f"with the ticket, entry {entry}", key="line-7",
                 ticket=first.get("ticket", ""), request_id="log-entry-demo")
         runs = cluster.control("runs")["runs"].get("log-entry-demo", 0)
-        print(f"  leafs ran it {runs} time(s)")
-        expect(runs == 1, "ran exactly once")
+        print(f"  leafs ran the request {runs} time(s)")
+        expect(runs == 1, "the request ran exactly once")
         print("killing entry 3 (SIGKILL)")
         cluster.kill(3)
         for entry in (1, 2):
             ask(cluster, entry, "changeover-recipes", ("whole", "partial"), f"urgent, entry {entry}")
-        print("killing leaf 0 of shard 0 (it answers nothing any more)")
+        print("failing leaf 0 of shard 0 (it stops answering)")
         cluster.control("faults", leaf=0, dead=True)
         for entry in (1, 2, 1, 2):
             ask(cluster, entry, "changeover-recipes", ("whole", "partial"), f"urgent, entry {entry}")
-        print("stopping all by SIGTERM")
+        print("stopping all processes by SIGTERM")
         began = time.monotonic()
         codes = cluster.stop_all()
         print(f"  exit codes {codes} after {time.monotonic() - began:.1f} s")
-        expect(all(code == 0 for code in codes.values()), "all ended with 0")
+        expect(all(code == 0 for code in codes.values()), "all processes exited with 0")
     print("demo:", "as expected" if not FAILURES else f"{len(FAILURES)} step(s) not as expected")
     return 1 if FAILURES else 0
 
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# libFuzzer on the frame decoder and the catalogue reader. Usage: fuzz.sh [SECONDS], 60 each by default.
+# Runs libFuzzer on the frame decoder and the catalogue reader. Usage: fuzz.sh [SECONDS], 60 for each by default.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-60}
--- a/scripts/make_example.py
+++ b/scripts/make_example.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Writes the documents of one deployment at the sizes of today: topology, VM list, catalogue, settings of each entry.
+"""Writes the documents of an example deployment: topology, VM list, catalogue, settings of each entry.
 
-The files under examples/ come from here; run it again after a change of sizes.
+Generates the files under examples/. Run it again after a change of the sizes below.
 Usage: make_example.py new-england|southern-vietnam OUT_DIR [--entries N] [--net 127.0.1]
 """
 import argparse
@@ -11,7 +11,7 @@
 DEPLOYMENTS = {
     "new-england": {
         "zones": ["lowell", "nashua", "worcester", "portland"],
-        # name, shards, leafs for each shard, slots, connections
+        # name, shards, leafs of each shard, slots and connections of each leaf
         "services": [
             ("line-assist", 20, 2, 2, 25),
             ("schedule-board", 30, 2, 2, 25),
--- a/scripts/overhead.py
+++ b/scripts/overhead.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
-"""What our processes add to a lookup, and leaf requests for each second of their processor time.
+"""Measures the latency that chivelock adds to a lookup, and the leaf requests for each second of its processor time.
 
-Leafs take a fixed 5 ms without stragglers; what a lookup takes beyond that is ours, the stand-in's and the kernel's.
+Leafs take a fixed 5 ms without stragglers. The rest of a lookup's time is spent in chivelock, the stand-in and the
+kernel.
 Usage: overhead.py BUILD_DIR [LOOKUPS_PER_SECOND] [SECONDS]
 """
 import os
@@ -44,7 +45,7 @@
             requests = leaf_requests(cluster, entry) - sent[entry]
             print(f"entry {entry}: {requests:.0f} leaf requests in {cpu:.2f} processor seconds: "
                   f"{requests / max(cpu, 0.01):.0f} for each second of a core")
-        print(f"leafs take {LEAF_MS} ms; what a lookup takes beyond that is added")
+        print(f"leafs take {LEAF_MS} ms; the rest of a lookup's time is overhead")
         cluster.stop_all()
 
 
