--- a/build.sh
+++ b/build.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# The one door to building, testing and trying chivelock. Run without arguments for the list of commands.
+# Builds, tests and runs chivelock. Run without arguments for the list of commands.
 set -euo pipefail
 cd "$(dirname "$0")"
 
-# What the daemon is built with stands in the deploy file alone: a second list would be complete while that one is not.
+# The daemon's build packages are listed only in the deploy file: with a second, complete list here, a package that is
+# missing from the deploy file would go unnoticed.
 mapfile -t deploy_packages < <(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | tr -d '" ' | tr , '\n')
 packages=("${deploy_packages[@]}" ccache pkg-config python3 libboost-test-dev)
 lint_packages=(clang-format clang-tidy)
@@ -16,20 +17,21 @@
   build     build everything into build/
   test      install, build, and run all tests through ctest
   lint      formatter and linter over our own sources
-  demo      three entries of New England: lookups, a ticket, a killed entry, a killed leaf
+  demo      three entries of New England: lookups, a ticket, a killed entry, a failed leaf
   matrix    every fault at every step, in virtual time: table of cases and violations
-  bench     the decisions under load, in virtual time: table and CSV under out/
+  bench     the decision cores under load, in virtual time: table and CSV under out/
   capacity  measure the slopes and derive the table of docs/CAPACITY.md from them
-  faults    real processes under load: kills, freezes, platform down (depends on the machine's speed; not in CI)
+  faults    real processes under load: kills, pauses, platform outage (depends on the machine's speed; not in CI)
   sanitize  the tests under address, undefined and thread sanitizers
-  soak      real gateway processes among stand-ins with faults: ./build.sh soak [FIRST-LAST] [SECONDS] [--zones], 50 seeds by default
-  deploy    the deploy file's own build line in a clean copy without any test; limit five minutes; then whether its
-            packages bring all that the build used
+  soak      real gateways, simulated leafs and store, random faults: ./build.sh soak [FIRST-LAST] [SECONDS] [--zones],
+            50 seeds by default
+  deploy    run the deploy file's build command in a clean copy without tests, at most five minutes; then check that its
+            packages install all files that the build used
   fuzz      libFuzzer on the frame decoder and the catalogue reader, 60 s each
 TEXT
 }
 
-# Installs what is missing only, so that a second run needs no network.
+# Installs only missing packages, so that a second run needs no network.
 install_packages() {
     local missing=() name
     for name in "$@"; do
@@ -55,7 +57,7 @@
     install_packages "${lint_packages[@]}"
     configure_and_build build
     sources | xargs clang-format --dry-run --Werror
-    # The fuzzers are built by clang apart and have no compile commands here; the formatter still sees them.
+    # The fuzzers are built separately by clang and have no compile commands here; only the formatter checks them.
     sources | grep '\.cpp$' | grep -v '^fuzz/' | xargs -P "$(nproc)" -n 2 clang-tidy -p build --quiet 2>/dev/null
 }
 
@@ -67,7 +69,7 @@
     done
 }
 
-# What the platform builds must need no test and leave everything under target/.
+# The platform's build must work without test sources and write only under target/.
 deploy_build() {
     local line copy began
     line=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)
