--- a/fuzz/fuzz_catalogue.cpp
+++ b/fuzz/fuzz_catalogue.cpp
@@ -1,4 +1,4 @@
-/** @file A publication: whatever it is, it is refused with reasons, or accepted and written back the same. */
+/** @file Fuzzes the catalogue reader: input is rejected with reasons, or accepted and read back equal after writing. */
 
 #include <catalogue/catalogue.h>
 
@@ -9,9 +9,10 @@
     const auto document = readCatalogue(text);
     if (document) {
         const auto again = readCatalogue(writeCatalogue(*document));
-        require(again.has_value() && again->kinds == document->kinds, "what was accepted reads back the same");
+        require(again.has_value() && again->kinds == document->kinds,
+                "an accepted catalogue reads back equal after writing");
     } else {
-        require(!document.error().problems.empty(), "a refusal has a reason");
+        require(!document.error().problems.empty(), "a rejected catalogue has a reason");
     }
     (void)readDelta(text);
     return 0;
--- a/fuzz/fuzz_frames.cpp
+++ b/fuzz/fuzz_frames.cpp
@@ -1,4 +1,4 @@
-/** @file Bytes of a peer: whatever they are, they are refused or read, never read outside. */
+/** @file Fuzzes the frame decoder with bytes from a peer: it decodes or rejects them and never reads out of bounds. */
 
 #include <wire/wire.h>
 
@@ -6,13 +6,13 @@
 {
     using namespace chivelock;
     const std::span bytes(data, size);
-    const auto direct = decodePayload(bytes);
-    if (direct) {
-        // What was read must be written and read again.
-        const std::string frame = encodeFrame(direct->from, direct->message);
-        const std::span written(reinterpret_cast<const std::uint8_t *>(frame.data()), frame.size());
-        require(decodePayload(written.subspan(framePrefixBytes)).has_value(),
-                "a message that was read can be passed on");
+    const auto decodedFrame = decodePayload(bytes);
+    if (decodedFrame) {
+        // A decoded message must survive encoding and decoding.
+        const std::string frame = encodeFrame(decodedFrame->from, decodedFrame->message);
+        const std::span encodedFrame(reinterpret_cast<const std::uint8_t *>(frame.data()), frame.size());
+        require(decodePayload(encodedFrame.subspan(framePrefixBytes)).has_value(),
+                "a decoded message can be encoded and decoded again");
     }
     frame_reader reader;
     reader.append(bytes);
