--- a/libs/catalogue/src/document.cpp
+++ b/libs/catalogue/src/document.cpp
@@ -157,7 +157,7 @@
 
 tl::expected<catalogue_document, document_error> readCatalogue(std::string_view text)
 {
-    return parseChecked(text, catalogueSchema())
+    return parseAndValidate(text, catalogueSchema())
         .and_then([](const nlohmann::json &json) -> tl::expected<catalogue_document, document_error> {
             catalogue_document document;
             document.revision = json.at("revision").get<std::uint64_t>();
@@ -198,7 +198,7 @@
 
 tl::expected<catalogue_delta, document_error> readDelta(std::string_view text)
 {
-    return parseChecked(text, deltaSchema()).map([](const nlohmann::json &json) {
+    return parseAndValidate(text, deltaSchema()).map([](const nlohmann::json &json) {
         catalogue_delta delta;
         delta.fromRevision = json.at("from_revision").get<std::uint64_t>();
         delta.revision = json.at("revision").get<std::uint64_t>();
--- a/libs/entry/include/entry/entry.h
+++ b/libs/entry/include/entry/entry.h
@@ -70,8 +70,7 @@
     std::size_t shardsInHand = 0;
     std::size_t leafRequests = 0;
     std::size_t tickets = 0;
-    bool receivedPeerHeartbeat =
-        false; ///< whether a peer's heartbeat was received; if not, peers may hold newer documents
+    bool receivedPeerHeartbeat = false; ///< a peer's heartbeat was received; if not, peers may hold newer documents
 };
 
 /** Action: the process may exit now. */
--- a/libs/http1/include/http1/http1.h
+++ b/libs/http1/include/http1/http1.h
@@ -36,7 +36,7 @@
 
 /** @return whether a header is hop-by-hop, which includes those listed in the Connection header of @p all. Such headers
  *  apply to one connection only and are never forwarded. */
-[[nodiscard]] bool isHopHeader(std::string_view name, const http_headers &all);
+[[nodiscard]] bool isHopByHopHeader(std::string_view name, const http_headers &all);
 
 /** A complete request. */
 struct http_request {
@@ -82,7 +82,7 @@
     [[nodiscard]] read_state feed(std::string &input);
 
     /** Whether the client waits for an interim 100 response before it sends the body. Valid from HeadComplete on. */
-    [[nodiscard]] bool wantsContinue() const;
+    [[nodiscard]] bool expectsContinue() const;
 
     /** Whether part of an incomplete request has been received. */
     [[nodiscard]] bool begun() const;
@@ -129,6 +129,6 @@
 writeResponse(unsigned status, std::string_view reason, const http_headers &headers, std::string_view body, bool close);
 
 /** @return the standard reason phrase of a status code. */
-[[nodiscard]] std::string_view reasonFor(unsigned status);
+[[nodiscard]] std::string_view reasonPhrase(unsigned status);
 
 } // namespace chivelock
--- a/libs/http1/src/headers.cpp
+++ b/libs/http1/src/headers.cpp
@@ -55,14 +55,14 @@
     });
 }
 
-bool isHopHeader(std::string_view name, const http_headers &all)
+bool isHopByHopHeader(std::string_view name, const http_headers &all)
 {
     const bool known =
         std::ranges::any_of(hopByHopHeaders, [&](std::string_view hop) { return sameHeaderName(hop, name); });
     return known || headerHasToken(all, "Connection", name);
 }
 
-std::string_view reasonFor(unsigned status)
+std::string_view reasonPhrase(unsigned status)
 {
     const beast::string_view phrase = beast::http::obsolete_reason(beast::http::int_to_status(status));
     return {phrase.data(), phrase.size()};
--- a/libs/http1/src/request_reader.cpp
+++ b/libs/http1/src/request_reader.cpp
@@ -166,7 +166,7 @@
     return body;
 }
 
-bool request_reader::wantsContinue() const
+bool request_reader::expectsContinue() const
 {
     return m_state->headComplete && boost::beast::iequals(m_state->parser->get()[http::field::expect], "100-continue");
 }
--- a/libs/http1/tests/test_http1.cpp
+++ b/libs/http1/tests/test_http1.cpp
@@ -125,7 +125,7 @@
 BOOST_AUTO_TEST_CASE(standard_and_connection_listed_headers_are_hop_by_hop)
 {
     const http_headers headers = {{"Connection", "close, X-Mine"}, {"X-Mine", "1"}, {"X-Other", "2"}};
-    BOOST_TEST(isHopHeader("x-mine", headers));
-    BOOST_TEST(isHopHeader("Keep-Alive", headers));
-    BOOST_TEST(!isHopHeader("X-Other", headers));
+    BOOST_TEST(isHopByHopHeader("x-mine", headers));
+    BOOST_TEST(isHopByHopHeader("Keep-Alive", headers));
+    BOOST_TEST(!isHopByHopHeader("X-Other", headers));
 }
--- a/libs/leafs/include/leafs/leafs.h
+++ b/libs/leafs/include/leafs/leafs.h
@@ -178,8 +178,7 @@
 
     leaf_entry entry;
     millis coldUntil;
-    std::optional<cold_admission_slot>
-        lastColdAdmissionSlot; ///< the last admission slot in which this VM asked the leaf
+    std::optional<cold_admission_slot> lastColdAdmissionSlot; ///< last admission slot in which this VM asked the leaf
     millis drainingSince = millis::never(); ///< earliest time since which the leaf may be leaving
     millis missingSince = millis::never(); ///< earliest time since which its entry may be missing from the store
     bool mayHaveExpired = false; ///< its entry may be missing only because of a store outage
@@ -189,8 +188,7 @@
     bool misdirected = false; ///< another instance answered at its address
     /** The entry was overwritten by another writer; the leaf is not asked until its entry is written again. */
     bool entryUnreadable = false;
-    millis restartSeenAt =
-        millis() - millis::never(); ///< reports from before this time concern the previous incarnation
+    millis restartSeenAt = millis() - millis::never(); ///< reports from before then concern the previous incarnation
     std::vector<open_send> open;
     millis lastReplyAt = millis() - millis::never();
     double slowness = 1; ///< its processing time relative to the typical time of the route
--- a/libs/policy/include/policy/policy.h
+++ b/libs/policy/include/policy/policy.h
@@ -69,8 +69,7 @@
 struct runner_settings {
     replica_chooser chooser = least_in_flight();
     std::uint32_t extraInFlight = 1; ///< sent beyond a leaf's slots while many requests wait; hides the round-trip time
-    double extraMinWaitingPerSlot =
-        2; ///< waiting requests per slot of a shard at which @ref extraInFlight takes effect
+    double extraMinWaitingPerSlot = 2; ///< waiting requests per slot of a shard at which @ref extraInFlight applies
     bool hedging = true;
     double hedgeQuantile = 0.93; ///< quantile of the service times after which a running request is hedged
     double hedgeBudget = 0.08; ///< hedges per first send, at most
--- a/libs/routing/include/routing/routing.h
+++ b/libs/routing/include/routing/routing.h
@@ -48,8 +48,7 @@
 struct service_limits {
     service_name name;
     unsigned maxConnections = 1; ///< connections that one leaf accepts from all VMs together
-    double maxColdRequestsPerSecond =
-        0; ///< requests per second that one leaf with a cold cache gets from all VMs; 0: no limit
+    double maxColdRequestsPerSecond = 0; ///< requests per second from all VMs to a leaf with a cold cache; 0: no limit
 };
 
 /** Limits on the size of a caller's request and on the time that the caller may take to send it. */
--- a/libs/schema/include/schema/schema.h
+++ b/libs/schema/include/schema/schema.h
@@ -32,6 +32,7 @@
 [[nodiscard]] std::string toString(const document_error &error);
 
 /** @return the parsed document, or all problems found in it. @pre @p schema is a valid JSON Schema. */
-[[nodiscard]] tl::expected<nlohmann::json, document_error> parseChecked(std::string_view text, std::string_view schema);
+[[nodiscard]] tl::expected<nlohmann::json, document_error> parseAndValidate(std::string_view text,
+                                                                            std::string_view schema);
 
 } // namespace chivelock
--- a/libs/schema/src/schema.cpp
+++ b/libs/schema/src/schema.cpp
@@ -106,7 +106,7 @@
                            });
 }
 
-tl::expected<nlohmann::json, document_error> parseChecked(std::string_view text, std::string_view schemaText)
+tl::expected<nlohmann::json, document_error> parseAndValidate(std::string_view text, std::string_view schemaText)
 {
     nlohmann::json document = nlohmann::json::parse(text, nullptr, false);
     if (document.is_discarded()) {
--- a/libs/schema/tests/test_schema.cpp
+++ b/libs/schema/tests/test_schema.cpp
@@ -16,14 +16,14 @@
 
 BOOST_AUTO_TEST_CASE(valid_document_is_returned)
 {
-    const auto document = parseChecked(R"({"limit_ms": 5})", schemaText);
+    const auto document = parseAndValidate(R"({"limit_ms": 5})", schemaText);
     BOOST_REQUIRE(document.has_value());
     BOOST_TEST(document->at("limit_ms") == 5);
 }
 
 BOOST_AUTO_TEST_CASE(problem_reports_path_value_and_rule)
 {
-    const auto document = parseChecked(R"({"limit_ms": 61})", schemaText);
+    const auto document = parseAndValidate(R"({"limit_ms": 61})", schemaText);
     BOOST_REQUIRE(!document.has_value());
     const document_problem &problem = document.error().problems.front();
     BOOST_TEST(problem.path == "/limit_ms");
@@ -33,16 +33,16 @@
 
 BOOST_AUTO_TEST_CASE(unknown_key_and_invalid_json_are_rejected)
 {
-    const auto unknown = parseChecked(R"({"limit_ms": 5, "limt": 1})", schemaText);
+    const auto unknown = parseAndValidate(R"({"limit_ms": 5, "limt": 1})", schemaText);
     BOOST_REQUIRE(!unknown.has_value());
     BOOST_TEST(toString(unknown.error()).find("limt") != std::string::npos);
-    BOOST_TEST(!parseChecked("{\"limit_ms\":", schemaText).has_value());
-    BOOST_TEST(!parseChecked("", schemaText).has_value());
+    BOOST_TEST(!parseAndValidate("{\"limit_ms\":", schemaText).has_value());
+    BOOST_TEST(!parseAndValidate("", schemaText).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(problem_inside_an_array_reports_the_index)
 {
-    const auto document = parseChecked(R"({"limit_ms": 5, "names": ["a", 7]})", schemaText);
+    const auto document = parseAndValidate(R"({"limit_ms": 5, "names": ["a", 7]})", schemaText);
     BOOST_REQUIRE(!document.has_value());
     BOOST_TEST(document.error().problems.front().path == "/names/1");
 }
--- a/libs/settings/src/gateway_settings.cpp
+++ b/libs/settings/src/gateway_settings.cpp
@@ -80,7 +80,7 @@
 
 tl::expected<gateway_daemon_settings, document_error> readGatewaySettings(std::string_view text)
 {
-    return parseChecked(text, gatewaySchema).map([](const json &document) {
+    return parseAndValidate(text, gatewaySchema).map([](const json &document) {
         gateway_daemon_settings settings;
         readIfPresent(document, "vm", settings.vmName);
         readIfPresent(document, "zone", settings.zone.value);
--- a/libs/settings/src/settings.cpp
+++ b/libs/settings/src/settings.cpp
@@ -125,7 +125,7 @@
 
 tl::expected<daemon_settings, document_error> readSettings(std::string_view text)
 {
-    return parseChecked(text, settingsSchema)
+    return parseAndValidate(text, settingsSchema)
         .and_then([](const json &document) -> tl::expected<daemon_settings, document_error> {
             daemon_settings settings;
             readIfPresent(document, "vm", settings.vm.value);
--- a/libs/topology/src/topology.cpp
+++ b/libs/topology/src/topology.cpp
@@ -144,7 +144,7 @@
 
 tl::expected<topology_document, document_error> readTopology(std::string_view text)
 {
-    return parseChecked(text, topologySchema)
+    return parseAndValidate(text, topologySchema)
         .and_then([](const nlohmann::json &json) -> tl::expected<topology_document, document_error> {
             topology_document document;
             document.revision = json.at("revision").get<std::uint64_t>();
@@ -162,7 +162,7 @@
 
 tl::expected<vm_list_document, document_error> readVmList(std::string_view text)
 {
-    return parseChecked(text, vmListSchema).map([](const nlohmann::json &json) {
+    return parseAndValidate(text, vmListSchema).map([](const nlohmann::json &json) {
         vm_list_document document;
         document.revision = json.at("revision").get<std::uint64_t>();
         std::ranges::transform(json.at("vms"), std::back_inserter(document.vms), parseVm);
--- a/programs/chivelockd/caller_http.cpp
+++ b/programs/chivelockd/caller_http.cpp
@@ -188,7 +188,7 @@
 {
     const millis receivedAt = m_clock.now();
     const std::string &text = request.body();
-    const auto document = parseChecked(text.empty() ? "{}" : text, lookupSchema);
+    const auto document = parseAndValidate(text.empty() ? "{}" : text, lookupSchema);
     if (!document) {
         sendError(caller, http::Code::Bad_Request, toString(document.error()));
         return;
--- a/programs/chivelockd/gateway/caller_server.cpp
+++ b/programs/chivelockd/gateway/caller_server.cpp
@@ -177,7 +177,7 @@
     /** Sends the interim response synchronously: it is small, and nothing else is being written on the connection. */
     void sendContinue()
     {
-        if (!m_reader.wantsContinue()) {
+        if (!m_reader.expectsContinue()) {
             return;
         }
         static constexpr std::string_view interim = "HTTP/1.1 100 Continue\r\n\r\n";
--- a/programs/chivelockd/gateway/gateway_store.cpp
+++ b/programs/chivelockd/gateway/gateway_store.cpp
@@ -26,7 +26,7 @@
     std::size_t unknown = 0;
     for (const store_item &item : items) {
         const platform::operator_key key = platform::readOperatorKey(item.key);
-        if (key.about == EmptiedZone) {
+        if (key.about == DrainedZone) {
             applyZoneDrain(key.zone, item);
         }
         unknown += key.about == Unknown ? 1 : 0;
--- a/programs/chivelockd/gateway/status_pages.cpp
+++ b/programs/chivelockd/gateway/status_pages.cpp
@@ -8,7 +8,7 @@
 
 std::string emptyAnswer(unsigned status)
 {
-    return writeResponse(status, reasonFor(status), {}, {}, false);
+    return writeResponse(status, reasonPhrase(status), {}, {}, false);
 }
 
 std::string readinessAnswer(status_source &source, const http_request &request)
@@ -26,7 +26,7 @@
 {
     constexpr unsigned ok = 200;
     const http_headers headers = {{"Content-Type", "text/plain; version=0.0.4"}};
-    return writeResponse(ok, reasonFor(ok), headers, source.metricsPage(), false);
+    return writeResponse(ok, reasonPhrase(ok), headers, source.metricsPage(), false);
 }
 
 } // namespace
